--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -61,7 +61,7 @@
     def count_start(self) -> None:
         """Count that a server began the request, once."""
 
-    def count_plain_loss(self) -> None:
+    def count_start_unless_stream(self) -> None:
         """Count a plain request that a server has very likely begun."""
 
 
@@ -89,26 +89,26 @@
                 "the server is leaving",
                 RetryReason.SERVER_LEAVING,
                 started=False,
-                counts=False,
+                counts_as_attempt=False,
             )
         self.request.servers.append(view.id)
         try:
-            self.connection = self.context.pool.take(view.id, view.address)
+            self.connection = self.context.pool.acquire(view.id, view.address)
         except BrokenError as error:
             raise AttemptError(
                 f"connecting: {error}",
                 RetryReason.CONNECT_FAILED,
                 started=False,
-                counts=False,
+                counts_as_attempt=False,
             ) from None
         self.request.in_flight = True
         self.request.sent_at = self.context.true_time.now()
         try:
             self._send()
             message, facts = self.connection.read_head(self.request.facts.id)
-            self._judge(message, facts)
+            self._handle_answer(message, facts)
         except BrokenError as error:
-            self.request.count_plain_loss()
+            self.request.count_start_unless_stream()
             raise AttemptError(
                 str(error), RetryReason.SERVER_FAILED, started=True
             ) from None
@@ -136,7 +136,7 @@
         line = b"%s %s HTTP/1.1" % (message.method, message.target)
         self.connection.send(encode_head(line, headers), body)
 
-    def _judge(self, message: AnswerMessage, facts: AnswerFacts) -> None:
+    def _handle_answer(self, message: AnswerMessage, facts: AnswerFacts) -> None:
         """Pass a success on; raise AttemptError for all else."""
         view = self.view
         if facts.running is not None:
@@ -147,7 +147,7 @@
                 "another server has the address",
                 RetryReason.SERVER_LEAVING,
                 started=False,
-                counts=False,
+                counts_as_attempt=False,
             )
         if facts.not_run:
             self.connection.read_all(message)
@@ -160,11 +160,11 @@
         if 200 <= message.status < 300:
             self._check_success(message, facts)
             if self.request.route.kind is RouteKind.STREAM:
-                self._pass_stream(message)
+                self._forward_stream(message)
             else:
-                self._pass_whole(message)
+                self._forward_whole(message)
             return
-        answer = self._whole(message)
+        answer = self._read_answer(message)
         self._keep_connection(message)
         self.request.count_start()
         raise AttemptError(
@@ -180,7 +180,7 @@
         if not facts.sealed or encoding not in (b"", b"identity"):
             raise BrokenError("an answer without a signature", sent=True)
 
-    def _whole(self, message: AnswerMessage) -> ServerAnswer:
+    def _read_answer(self, message: AnswerMessage) -> ServerAnswer:
         body = (
             self.connection.read_all(message)
             if self.request.exchange.message.method != b"HEAD"
@@ -190,19 +190,19 @@
             message.status, message.reason, end_to_end(message.headers), body
         )
 
-    def _pass_whole(self, message: AnswerMessage) -> None:
-        answer = self._whole(message)
+    def _forward_whole(self, message: AnswerMessage) -> None:
+        answer = self._read_answer(message)
         self.context.placer.started(self.request.ticket)
         self.request.count_start()
         self._keep_connection(message)
         self.context.placer.finished(self.request.ticket, 1)
         self.request.outcome = "ok"
-        self.request.progress.passed(self.request.now)
+        self.request.progress.chunk_forwarded(self.request.now)
         self.request.exchange.answer(
             answer.status, answer.reason, answer.headers, answer.body
         )
 
-    def _pass_stream(self, message: AnswerMessage) -> None:
+    def _forward_stream(self, message: AnswerMessage) -> None:
         """Pass a stream's events on as they come.
 
         The head waits for the first event: until then another server may take over.
@@ -214,18 +214,20 @@
             self.request.count_start()
             if resumable:
                 data = self.request.splitter.feed(data)
-            if data and not exchange.answered:
-                exchange.begin(
+            if data and not exchange.answer_started:
+                exchange.send_head(
                     message.status, message.reason, end_to_end(message.headers)
                 )
             if data:
-                self.request.progress.passed(self.request.now)
-            exchange.pass_on(data)
+                self.request.progress.chunk_forwarded(self.request.now)
+            exchange.send_chunk(data)
         self._keep_connection(message)
         self.context.placer.finished(self.request.ticket, self._tokens())
-        if not exchange.answered:
-            exchange.begin(message.status, message.reason, end_to_end(message.headers))
-        exchange.pass_on(self.request.splitter.rest())
+        if not exchange.answer_started:
+            exchange.send_head(
+                message.status, message.reason, end_to_end(message.headers)
+            )
+        exchange.send_chunk(self.request.splitter.rest())
         self.request.outcome = "ok"
         exchange.end()
 
@@ -238,7 +240,7 @@
         """Keep the connection for another request, if its answer is whole."""
         connection, self.connection = self.connection, None
         if connection.finish(message):
-            self.context.pool.give_back(self.view.id, connection)
+            self.context.pool.release(self.view.id, connection)
         else:
             connection.close()
 
--- a/packages/endive_gateway/src/endive_gateway/callers.py
+++ b/packages/endive_gateway/src/endive_gateway/callers.py
@@ -43,7 +43,7 @@
         self.message = message
         self.body = b"".join(message.body)
         self.received_at = received_at
-        self.answered = False
+        self.answer_started = False
         self.broken = False
         self.is_closing = is_closing
 
@@ -52,12 +52,16 @@
         """Whether the connection may carry another request after this answer."""
         return self.message.keep_alive and not self.broken and not self.is_closing()
 
-    def begin(self, status: int, reason: bytes, headers: Headers) -> None:
+    def send_head(self, status: int, reason: bytes, headers: Headers) -> None:
         """Send the head of an answer whose body comes in pieces."""
         headers = [*headers, (b"Transfer-Encoding", b"chunked")]
-        self._send(encode_head(status_line(status, reason), self._closed(headers)))
+        self._send(
+            encode_head(
+                status_line(status, reason), self._with_connection_header(headers)
+            )
+        )
 
-    def pass_on(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """Send a piece of the body."""
         if data:
             self._send(b"%x\r\n%b\r\n" % (len(data), data))
@@ -73,7 +77,10 @@
         if self.message.method == b"HEAD":
             body = b""
         self._send(
-            encode_head(status_line(status, reason), self._closed(headers)) + body
+            encode_head(
+                status_line(status, reason), self._with_connection_header(headers)
+            )
+            + body
         )
 
     def refuse(self, error: EndiveError, status: int, headers: Headers) -> None:
@@ -88,13 +95,13 @@
         """End an answer that can't be completed, so that it doesn't look whole."""
         self.broken = True
 
-    def _closed(self, headers: Headers) -> Headers:
+    def _with_connection_header(self, headers: Headers) -> Headers:
         if not self.keep_alive:
             return [*headers, (b"Connection", b"close")]
         return headers
 
     def _send(self, data: bytes) -> None:
-        self.answered = True
+        self.answer_started = True
         try:
             self.sock.sendall(data)
         except OSError:
@@ -102,7 +109,7 @@
             raise CallerGoneError from None
 
 
-class CallerWatch:
+class DisconnectWatcher:
     """Ends the greenlet of a request whose caller closes the connection.
 
     A request that nobody waits for any more would hold its place at a server, and a
@@ -114,15 +121,15 @@
         self.greenlet = greenlet
         self.watcher = get_hub().loop.io(sock.fileno(), 1)
 
-    def __enter__(self) -> "CallerWatch":
-        self.watcher.start(self._readable)
+    def __enter__(self) -> "DisconnectWatcher":
+        self.watcher.start(self._on_readable)
         return self
 
     def __exit__(self, *_exc_info) -> None:
         self.watcher.stop()
         self.watcher.close()
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         try:
             data = self.sock._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -134,7 +141,7 @@
             self.greenlet.kill(CallerGoneError, block=False)
 
 
-class Server(Protocol):
+class RequestHandler(Protocol):
     """Answers one request."""
 
     def serve(self, exchange: Exchange) -> None:
@@ -159,12 +166,12 @@
     def __init__(
         self,
         listener: socket.socket,
-        server: Server,
+        handler: RequestHandler,
         limits: Callable[[], CallerLimits],
     ) -> None:
         self.listener = listener
         self.port = self.listener.getsockname()[1]
-        self.server = server
+        self.handler = handler
         self.limits = limits
         self.stopping = False
         self.connections: dict[object, CallerConnection] = {}
@@ -207,10 +214,10 @@
     def close_idle(self) -> None:
         """Close the connections on which no request is under way."""
         for connection in list(self.connections.values()):
-            connection.close_if_quiet()
+            connection.close_if_idle()
 
 
-def _is_quiet(sock) -> bool:
+def _is_idle(sock) -> bool:
     """Return whether a socket is open and nothing has come on it."""
     try:
         sock._sock.recv(1, socket.MSG_PEEK)
@@ -243,13 +250,13 @@
             self.listener.connections.pop(self, None)
             self.sock.close()
 
-    def close_if_quiet(self) -> None:
+    def close_if_idle(self) -> None:
         """Close the connection unless a request is on it or has just come.
 
         Ending the greenlet instead would hit it a moment later, when it may have read
         a request and passed it on already.
         """
-        if self.idle and _is_quiet(self.sock):
+        if self.idle and _is_idle(self.sock):
             self.sock.close()
 
     def _serve_next(self) -> bool:
@@ -264,8 +271,8 @@
         exchange = Exchange(
             self.sock, message, received_at, lambda: self.listener.stopping
         )
-        with CallerWatch(self.sock, self.greenlet):
-            self.listener.server.serve(exchange)
+        with DisconnectWatcher(self.sock, self.greenlet):
+            self.listener.handler.serve(exchange)
         self.idle = True
         return exchange.keep_alive
 
--- a/packages/endive_gateway/src/endive_gateway/connections.py
+++ b/packages/endive_gateway/src/endive_gateway/connections.py
@@ -19,30 +19,30 @@
 region; a dropped opening packet is sent again after one second, so who has waited for
 this long is better served by another server."""
 
-UNACKED_MS = 1500
+TCP_USER_TIMEOUT_MS = 1500
 """Time for which sent bytes may stay unacknowledged, milliseconds. A server that went
 dark acknowledges nothing; five losses in a row on a poor link take as long."""
 
 KEEPALIVE_IDLE_S = 1
-KEEPALIVE_GAP_S = 1
+KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
 """A server that goes dark while it works says nothing more. The probes notice within
 three seconds, which is before most callers give up."""
 
-LISTENING_S = 0.05
+LISTEN_PROBE_TIMEOUT_S = 0.05
 """Longest time to find out whether a server still listens, seconds: a refusal comes
 back within a few milliseconds, and the caller of the broken request waits for it."""
 
 READ_BYTES = 65_536
-SEND_AT_ONCE_BYTES = 32_768
+INLINE_BODY_BYTES = 32_768
 """A body up to this size fits into the buffers between two machines, so sending it
 can't wait for a server that answers before it reads on."""
 
-IDLE_PART = 0.7
+IDLE_FRACTION = 0.7
 """Part of a server's idle time-out after which its connection isn't used again: a
 request that crosses the server's close is lost."""
 
-DEFAULT_IDLE_S = 4.0
+DEFAULT_IDLE_TIMEOUT_S = 4.0
 """Idle time-out where a server tells none."""
 
 
@@ -52,15 +52,15 @@
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.parser = AnswerParser()
-        self.used_at = time.monotonic()
-        self.idle_s = DEFAULT_IDLE_S
+        self.last_used_at = time.monotonic()
+        self.idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
         self.requests = 0
         self.reusable = True
         self.sender: gevent.Greenlet | None = None
 
     def is_quiet(self, now: float) -> bool:
         """Return whether the server has neither closed nor said anything unasked."""
-        if now - self.used_at > self.idle_s * IDLE_PART:
+        if now - self.last_used_at > self.idle_timeout_s * IDLE_FRACTION:
             return False
         try:
             self.sock._sock.recv(1, socket.MSG_PEEK)
@@ -75,7 +75,7 @@
         self.requests += 1
         self.parser.messages.clear()
         try:
-            if len(body) <= SEND_AT_ONCE_BYTES:
+            if len(body) <= INLINE_BODY_BYTES:
                 self.sock.sendall(head + body)
             else:
                 self.sock.sendall(head)
@@ -149,10 +149,10 @@
         Bytes after a whole answer belong to no request, and a body that is still being
         sent would be taken for the next request's head.
         """
-        self.used_at = time.monotonic()
-        timeout = _idle_timeout(message)
+        self.last_used_at = time.monotonic()
+        timeout = _advertised_idle_timeout(message)
         if timeout is not None:
-            self.idle_s = timeout
+            self.idle_timeout_s = timeout
         sending = self.sender is not None and not self.sender.ready()
         alone = len(self.parser.messages) == 1
         whole = message.complete and alone and not sending
@@ -192,7 +192,7 @@
             while self.parser.messages and self.parser.messages[0].head_done:
                 message = self.parser.messages[0]
                 facts = self.wire.decode_answer(message.headers)
-                if message.status >= 200 and _answers(message, facts, request_id):
+                if message.status >= 200 and _is_answer_to(message, facts, request_id):
                     return message, facts
                 if message.ends_with_connection:
                     raise BrokenError("another request's answer", sent=True)
@@ -213,7 +213,7 @@
         sock.settimeout(CONNECT_TIMEOUT_S)
         sock.connect((host, int(port)))
         sock.settimeout(None)
-        watch_for_silence(sock)
+        enable_keepalive(sock)
     except ConnectionRefusedError as error:
         sock.close()
         raise BrokenError(str(error), sent=False, refused=True) from None
@@ -226,13 +226,13 @@
     return sock
 
 
-def watch_for_silence(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Let the kernel notice a peer that went dark."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_GAP_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
 def is_listening(address: str) -> bool:
@@ -242,7 +242,7 @@
     """
     host, _, port = address.rpartition(":")
     sock = gsocket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    sock.settimeout(LISTENING_S)
+    sock.settimeout(LISTEN_PROBE_TIMEOUT_S)
     try:
         sock.connect((host, int(port)))
     except ConnectionRefusedError:
@@ -254,7 +254,7 @@
     return True
 
 
-def _answers(message: AnswerMessage, facts: AnswerFacts, request_id: str) -> bool:
+def _is_answer_to(message: AnswerMessage, facts: AnswerFacts, request_id: str) -> bool:
     if facts.request_id:
         return facts.request_id == request_id
     # A server that refuses before it has read the request may not name it; a success
@@ -262,7 +262,7 @@
     return message.status >= 400 and facts.not_run
 
 
-def _idle_timeout(message: AnswerMessage) -> float | None:
+def _advertised_idle_timeout(message: AnswerMessage) -> float | None:
     value = header_value(message.headers, b"keep-alive").lower()
     for part in value.split(b","):
         name, _, seconds = part.strip().partition(b"=")
@@ -282,7 +282,7 @@
         self.idle: dict[str, deque[ServerConnection]] = defaultdict(deque)
         self.opened = 0
 
-    def take(self, server_id: str, address: str) -> ServerConnection:
+    def acquire(self, server_id: str, address: str) -> ServerConnection:
         """Return a connection to a server; raises :class:`BrokenError`."""
         idle = self.idle[server_id]
         now = time.monotonic()
@@ -294,7 +294,7 @@
         self.opened += 1
         return ServerConnection.open(address, self.wire)
 
-    def give_back(self, server_id: str, connection: ServerConnection) -> None:
+    def release(self, server_id: str, connection: ServerConnection) -> None:
         """Keep a connection for the next request."""
         self.idle[server_id].append(connection)
 
--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -67,13 +67,15 @@
         self.limits = SharedLimits(time.monotonic(), slack=settings.bounds.quota_slack)
         self.meter = Meter(settings.bounds.usage_window_s)
         self.true_time = TrueTime(time.monotonic, time.time)
-        self.budgets: dict[str, FleetRetryBudget] = {}
+        self.retry_budgets: dict[str, FleetRetryBudget] = {}
         self.metrics = GatewayMetrics()
         self.work = WorkMeter()
-        self.take_units: Callable[[OrganisationTerms, float], float] = self._take_alone
+        self.take_units: Callable[[OrganisationTerms, float], float] = (
+            self._take_locally
+        )
         self.on_prompt: Callable[[str, float, float], None] = lambda *sent: None
-        self.informed = Event()
-        self.registry.listeners.append(self._see_informed)
+        self.initialised = Event()
+        self.registry.listeners.append(self._update_initialised)
         self.incarnation = time.time_ns() // 1000
         self.started_at = time.monotonic()
         self.reported = -1
@@ -92,7 +94,7 @@
         organisations = self.table.organisations if self.table else None
         return (organisations or {}).get(organisation)
 
-    def _take_alone(self, terms: OrganisationTerms, units: float) -> float:
+    def _take_locally(self, terms: OrganisationTerms, units: float) -> float:
         """Spend without a word to other nodes."""
         return self.limits.wait_s(
             terms.name, units, time.monotonic(), rate=terms.rate, burst=terms.burst
@@ -115,14 +117,14 @@
         self.table = table
         self.document = document
         self.placer.configure(table)
-        self._see_informed()
+        self._update_initialised()
         return True
 
-    def _see_informed(self) -> None:
+    def _update_initialised(self) -> None:
         if self.table is not None and self.registry.known_once:
-            self.informed.set()
+            self.initialised.set()
 
-    def await_information(self) -> None:
+    def wait_until_initialised(self) -> None:
         """Wait until the configuration and servers are known, if that can be soon.
 
         Nodes that start again after all lost power are reached by callers in the same
@@ -130,20 +132,20 @@
         A node without a store is not waited for again and again: it refuses at once.
         """
         left_s = self.started_at + START_WAIT_S - time.monotonic()
-        if left_s > 0 and not self.informed.is_set():
-            self.informed.wait(left_s)
+        if left_s > 0 and not self.initialised.is_set():
+            self.initialised.wait(left_s)
 
     def set_nodes(self, nodes: int) -> None:
         """Take over the number of live nodes, this one included."""
         self.nodes = nodes
         self.placer.set_nodes(nodes)
 
-    def retries(self, service: str) -> FleetRetryBudget:
+    def retry_budget(self, service: str) -> FleetRetryBudget:
         """Return this node's part of the repeats to `service`."""
-        budget = self.budgets.get(service)
+        budget = self.retry_budgets.get(service)
         if budget is None:
             bounds = self.settings.bounds
-            budget = self.budgets[service] = FleetRetryBudget(
+            budget = self.retry_budgets[service] = FleetRetryBudget(
                 ratio=bounds.retry_ratio,
                 slack=bounds.retry_slack,
                 window_s=bounds.retry_window_s,
--- a/packages/endive_gateway/src/endive_gateway/events.py
+++ b/packages/endive_gateway/src/endive_gateway/events.py
@@ -36,6 +36,6 @@
         rest, self.pending = self.pending, b""
         return rest
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Forget the broken event: another server sends it again."""
         self.pending = b""
--- a/packages/endive_gateway/src/endive_gateway/exceptions.py
+++ b/packages/endive_gateway/src/endive_gateway/exceptions.py
@@ -84,11 +84,11 @@
     """Raised in a request's greenlet when its caller has closed the connection."""
 
 
-class OutOfTimeError(Exception):
+class RequestTimeoutError(Exception):
     """Raised in a request's greenlet when its time is over."""
 
 
-OUT_OF_TIME = 504
+DEADLINE_EXCEEDED_STATUS = 504
 """Status with which a server ends a request whose caller's time is over."""
 
 
@@ -111,24 +111,26 @@
         reason: RetryReason,
         *,
         started: bool,
-        counts: bool = True,
+        counts_as_attempt: bool = True,
         answer: ServerAnswer | None = None,
     ) -> None:
         super().__init__(message)
         self.reason = reason
         self.started = started
-        self.counts = counts
+        self.counts_as_attempt = counts_as_attempt
         self.answer = answer
 
     @property
-    def blames_server(self) -> bool:
+    def is_server_fault(self) -> bool:
         """Whether the failure says something of the server.
 
         A refusal of what was asked doesn't, nor does the end of the caller's time.
         """
         if self.answer is None:
-            return self.counts
-        return self.answer.status >= 500 and self.answer.status != OUT_OF_TIME
+            return self.counts_as_attempt
+        return (
+            self.answer.status >= 500 and self.answer.status != DEADLINE_EXCEEDED_STATUS
+        )
 
 
 class AnsweredError(EndiveError):
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -19,26 +19,26 @@
     AttemptError,
     BadHeaderError,
     CallerGoneError,
-    OutOfTimeError,
+    RequestTimeoutError,
 )
 from endive_gateway.http import host_name
 from endive_gateway.interfaces import RequestFacts, ServerAnswer, header_value
 from endive_gateway.progress import Progress
-from endive_gateway.statuses import NOT_RUN_STATUSES, make_true
+from endive_gateway.statuses import NOT_RUN_STATUSES, complete_error
 
-LATE_ANSWER_S = 0.1
+ANSWER_GRACE_S = 0.1
 """Time for a server's own answer at the end of its budget to arrive, seconds; a route
 is late only half a second after its time-out."""
 
-LEAST_LEFT_S = 0.02
+MIN_REMAINING_S = 0.02
 """Time below which nothing is sent any more: a round trip and the shortest work."""
 
-LEAST_PART = 0.1
+MIN_REMAINING_FRACTION = 0.1
 """Part of the target below which nothing is sent either: a server that gets so little
 time is not asked in earnest. Half of all first tokens come within a twentieth of their
 targets, but no whole answer."""
 
-LAST_URGENCY = 9
+LOWEST_URGENCY = 9
 """The last urgency that servers know; 0 goes first."""
 
 
@@ -50,10 +50,10 @@
 
     def serve(self, exchange: Exchange) -> None:
         """Answer one request."""
-        Forwarding(self.context, exchange).run()
+        ForwardedRequest(self.context, exchange).run()
 
 
-class Forwarding:
+class ForwardedRequest:
     """The state of one request.
 
     Attributes
@@ -76,8 +76,8 @@
         self.splitter = EventSplitter()
         self.may_have_run = False
         self.in_flight = False
-        self.begun = False
-        self.uncounted = 0
+        self.start_counted = False
+        self.uncounted_attempts = 0
         self.units = 0.0
         self.outcome = ""
         self.servers: list[str] = []
@@ -92,11 +92,11 @@
         try:
             self._check()
             with gevent.Timeout(
-                max(0.0, self.left_s()) + LATE_ANSWER_S, OutOfTimeError
+                max(0.0, self.left_s()) + ANSWER_GRACE_S, RequestTimeoutError
             ):
                 self._forward()
-        except OutOfTimeError:
-            self._finish_late()
+        except RequestTimeoutError:
+            self._refuse_timed_out()
         except EndiveError as error:
             self._refuse(error)
         except CallerGoneError:
@@ -107,7 +107,7 @@
             self.may_have_run |= self.in_flight
             self._refuse(EndiveError(ErrorKind.INTERNAL, repr(error)))
         finally:
-            self._release()
+            self._finish()
 
     # Before anything is sent
 
@@ -119,7 +119,7 @@
             self.facts = context.wire.decode_request(message.headers)
         except BadHeaderError as error:
             raise EndiveError(ErrorKind.INVALID_FIELD, str(error)) from None
-        context.await_information()
+        context.wait_until_initialised()
         table = context.table
         if table is None:
             raise EndiveError(
@@ -145,13 +145,13 @@
 
     def _check_time(self) -> None:
         """Refuse what no server can answer any more; raises EndiveError."""
-        least = max(LEAST_LEFT_S, LEAST_PART * self.route.target_s)
+        least = max(MIN_REMAINING_S, MIN_REMAINING_FRACTION * self.route.target_s)
         if self.left_s() <= least:
             raise EndiveError(ErrorKind.DEADLINE_EXCEEDED, "no time left")
 
     def _admit(self) -> None:
         self._check_time()
-        call = self._call()
+        call = self._make_call()
         if self.context.placer.crashes.is_poison(call.fingerprint, self.now):
             raise EndiveError(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
@@ -159,19 +159,19 @@
         self._spend_quota(call)
         table = self.context.table
         service = self.route.choose(self.context.random.random())
-        self.context.retries(service).request(self.now)
+        self.context.retry_budget(service).request(self.now)
         self.service = service
         self.engine = (
             table.services[service].engine if service in table.services else None
         )
         self.ticket = self.context.placer.admit(service, call)
 
-    def _call(self) -> Call:
+    def _make_call(self) -> Call:
         facts, route = self.facts, self.route
         priority = route.priority
         if self.terms is not None and self.terms.priority is not None:
             priority = self.terms.priority
-        self.usual_urgency = min(LAST_URGENCY, priority)
+        self.base_urgency = min(LOWEST_URGENCY, priority)
         blocks, ends = part_blocks(
             facts.model, [(part.id, part.tokens) for part in facts.parts]
         )
@@ -227,7 +227,7 @@
             queued_at = self.now
             view = self.context.placer.acquire(self.ticket)
             self._check_time()
-            self.progress.sent(
+            self.progress.dispatched(
                 self.now - queued_at,
                 self.ticket.uncached_tokens,
                 yielded=self.ticket.yields,
@@ -236,36 +236,36 @@
             try:
                 Attempt(self, view).run()
             except AttemptError as error:
-                self._fail(error)
+                self._handle_failure(error)
             else:
                 return
 
     @property
     def urgency(self) -> int:
         """The urgency at the server, from 0, which goes first."""
-        return LAST_URGENCY if self.ticket.yields else self.usual_urgency
+        return LOWEST_URGENCY if self.ticket.yields else self.base_urgency
 
     def _count_prompt(self, server: str) -> None:
         """Count the work that goes to a server; tell of it if others wait for it."""
         tokens = self.ticket.uncached_tokens
-        server_s = self.context.placer.server_s(self.service, tokens)
-        self.context.work.sent(self.service, server_s)
+        prefill_s = self.context.placer.prefill_s(self.service, tokens)
+        self.context.work.add_prompt(self.service, prefill_s)
         if not self.ticket.yields:
-            self.context.on_prompt(server, tokens, server_s)
+            self.context.on_prompt(server, tokens, prefill_s)
 
     def count_start(self) -> None:
         """Count that a server began the request, once."""
-        if not self.begun:
-            self.begun = True
+        if not self.start_counted:
+            self.start_counted = True
             since = self.exchange.received_at
-            self.context.metrics.first_bytes.add(self.now - since)
+            self.context.metrics.first_byte_times.observe(self.now - since)
             stream = self.route.kind is RouteKind.STREAM
             at = self.context.true_time.now() if stream else self.sent_at
             self.context.meter.begin(self.organisation, at)
 
     # After a failed attempt
 
-    def _fail(self, error: AttemptError) -> None:
+    def _handle_failure(self, error: AttemptError) -> None:
         """Queue the request once more, or raise or send its final answer.
 
         Raises
@@ -275,7 +275,7 @@
         """
         self.in_flight = False
         self.may_have_run |= error.started
-        self.uncounted += not error.counts
+        self.uncounted_attempts += not error.counts_as_attempt
         self.context.metrics.retries[str(error.reason)] += 1
         log_event(
             "attempt_failed",
@@ -287,52 +287,54 @@
             error=error,
         )
         if error.started:
-            self.context.placer.note_break(self.ticket, error.reason)
+            self.context.placer.count_crash(self.ticket, error.reason)
         try:
-            self._try_again(error)
+            self._requeue(error)
         except EndiveError:
-            if error.answer is None or self.exchange.answered:
+            if error.answer is None or self.exchange.answer_started:
                 raise
-            self._pass_failure(error.answer)
-        self.splitter.restart()
+            self._forward_failure(error.answer)
+        self.splitter.discard_partial()
 
-    def _try_again(self, error: AttemptError) -> None:
+    def _requeue(self, error: AttemptError) -> None:
         """Queue the request once more; raises EndiveError if it must not be."""
         placer = self.context.placer
         try:
-            self._allow_retry(error)
+            self._check_retry_allowed(error)
         except EndiveError:
-            if error.blames_server:
-                placer.gave_up(self.ticket, error.reason, started=error.started)
+            if error.is_server_fault:
+                placer.count_final_failure(
+                    self.ticket, error.reason, started=error.started
+                )
             raise
         placer.failed(
             self.ticket,
             error.reason,
             started=error.started,
-            max_attempts=self.route.max_attempts + self.uncounted,
+            max_attempts=self.route.max_attempts + self.uncounted_attempts,
         )
 
-    def _allow_retry(self, error: AttemptError) -> None:
+    def _check_retry_allowed(self, error: AttemptError) -> None:
         """Refuse a further attempt that there must not be; raises EndiveError."""
-        if self.exchange.answered and not self.route.resumable:
+        if self.exchange.answer_started and not self.route.resumable:
             raise EndiveError(ErrorKind.OUTCOME_UNKNOWN, "the stream broke off")
         if error.answer is not None and error.answer.status < 500:
             raise EndiveError(ErrorKind.BACKEND_REJECTED, "the server refused")
-        if not error.counts:
+        if not error.counts_as_attempt:
             return
         if error.started and not self.route.repeatable:
             raise EndiveError(ErrorKind.OUTCOME_UNKNOWN, "the request may have run")
-        if self.ticket.attempt >= self.route.max_attempts + self.uncounted:
+        if self.ticket.attempt >= self.route.max_attempts + self.uncounted_attempts:
             raise EndiveError(
                 ErrorKind.BACKEND_FAILED if self.may_have_run else ErrorKind.OVERLOADED,
                 f"all attempts failed, the last: {error}",
             )
         self._check_time()
-        budget = self.context.retries(self.service)
+        budget = self.context.retry_budget(self.service)
         if not budget.spend(self.now, nodes=self.context.nodes):
             raise EndiveError(ErrorKind.RETRY_BUDGET_SPENT, "too many repeats")
 
-    def _pass_failure(self, answer: ServerAnswer) -> None:
+    def _forward_failure(self, answer: ServerAnswer) -> None:
         """Pass on a server's own failure, unless it would promise too much."""
         self.outcome = f"server_{answer.status}"
         if answer.status in NOT_RUN_STATUSES:
@@ -342,7 +344,7 @@
         self.exchange.answer(answer.status, answer.reason, answer.headers, answer.body)
         raise AnsweredError
 
-    def _finish_late(self) -> None:
+    def _refuse_timed_out(self) -> None:
         self.may_have_run |= self.in_flight
         self._refuse(EndiveError(ErrorKind.DEADLINE_EXCEEDED, "the time is over"))
 
@@ -351,18 +353,18 @@
         if isinstance(error, AnsweredError):
             return
         self.outcome = str(error.kind)
-        if self.exchange.answered:
+        if self.exchange.answer_started:
             self.exchange.abort()
             return
-        status = make_true(error, self.may_have_run)
+        status = complete_error(error, self.may_have_run)
         if self.units and not self.may_have_run:
             self.context.limits.give_back(self.terms.name, self.units)
         self.exchange.refuse(error, status, self.context.wire.own_answer(self.facts))
 
-    def _release(self) -> None:
+    def _finish(self) -> None:
         if self.ticket is not None:
             if self.ticket.stage is not Stage.ENDED and self.in_flight:
-                self.count_plain_loss()
+                self.count_start_unless_stream()
             self.context.placer.end(self.ticket)
         self._count_outcome()
         log_event(
@@ -374,11 +376,11 @@
             servers=",".join(self.servers),
             ms=round((self.now - self.exchange.received_at) * 1000),
             version=self.context.version,
-            **self._terms(),
+            **self._target_fields(),
             **self.progress.fields(),
         )
 
-    def _terms(self) -> dict[str, int]:
+    def _target_fields(self) -> dict[str, int]:
         """Return the route's targets as the request's log line shows them."""
         if self.route is None:
             return {}
@@ -391,9 +393,9 @@
         metrics = self.context.metrics
         metrics.outcomes[self.outcome or "failed"] += 1
         if self.outcome == "ok":
-            metrics.whole.add(self.now - self.exchange.received_at)
+            metrics.answer_times.observe(self.now - self.exchange.received_at)
 
-    def count_plain_loss(self) -> None:
+    def count_start_unless_stream(self) -> None:
         """Count a plain request that a server has very likely begun."""
         if self.route.kind is not RouteKind.STREAM:
             self.count_start()
--- a/packages/endive_gateway/src/endive_gateway/http.py
+++ b/packages/endive_gateway/src/endive_gateway/http.py
@@ -12,7 +12,7 @@
 from endive_gateway.exceptions import BadMessageError
 from endive_gateway.interfaces import Headers
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -29,7 +29,7 @@
 )
 """Headers that concern one connection, or that are written anew."""
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     401: "Unauthorized",
@@ -58,7 +58,7 @@
         self.head_done = False
         self.complete = False
 
-    def lowered(self) -> dict[bytes, list[bytes]]:
+    def values_by_name(self) -> dict[bytes, list[bytes]]:
         """Return the values by lower-case name."""
         values: dict[bytes, list[bytes]] = {}
         for name, value in self.headers:
@@ -115,7 +115,7 @@
         self.current = None
 
     def on_message_begin(self) -> None:
-        self.current = self.new_message()
+        self.current = self.message_type()
         self.messages.append(self.current)
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -136,7 +136,7 @@
         Limits of one request.
     """
 
-    new_message = RequestMessage
+    message_type = RequestMessage
 
     def __init__(self, max_header_bytes: int, max_body_bytes: int) -> None:
         super().__init__()
@@ -144,7 +144,7 @@
         self.max_body_bytes = max_body_bytes
         self.head_bytes = 0
         self.body_bytes = 0
-        self.problem: BadMessageError | None = None
+        self.error: BadMessageError | None = None
         self.parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
@@ -161,14 +161,14 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._keep_protocol()
+            self._decline_upgrade()
         except httptools.HttpParserError as error:
-            raise self.problem or BadMessageError(str(error)) from None
+            raise self.error or BadMessageError(str(error)) from None
         unfinished = self.current is not None and not self.current.head_done
         if unfinished and self.head_bytes > self.max_header_bytes:
             raise BadMessageError("the header is too large", 431)
 
-    def _keep_protocol(self) -> None:
+    def _decline_upgrade(self) -> None:
         """Answer a request to change protocols in HTTP/1.1, and close after it.
 
         The parser takes all that follows for the other protocol, so a body or a next
@@ -189,15 +189,15 @@
         message.head_done = True
         message.method = self.parser.get_method()
         message.keep_alive = self.parser.should_keep_alive()
-        self.problem = self._problem(message)
-        if self.problem is not None:
-            raise self.problem
+        self.error = self._validate_head(message)
+        if self.error is not None:
+            raise self.error
         self.body_bytes = 0
 
-    def _problem(self, message: RequestMessage) -> BadMessageError | None:
+    def _validate_head(self, message: RequestMessage) -> BadMessageError | None:
         if self.parser.get_http_version() not in ("1.1", "1.0"):
             return BadMessageError("the version is not supported", 505)
-        values = message.lowered()
+        values = message.values_by_name()
         size = sum(len(n) + len(v) + 4 for n, v in message.headers)
         if size + len(message.target) > self.max_header_bytes:
             return BadMessageError("the header is too large", 431)
@@ -220,8 +220,8 @@
         """Take a piece of the body."""
         self.body_bytes += len(data)
         if self.body_bytes > self.max_body_bytes:
-            self.problem = BadMessageError("the body is too large", 413)
-            raise self.problem
+            self.error = BadMessageError("the body is too large", 413)
+            raise self.error
         self.current.body.append(data)
 
     def on_message_complete(self) -> None:
@@ -233,7 +233,7 @@
 class AnswerParser(_Parser):
     """Parses what one server sends on a connection."""
 
-    new_message = AnswerMessage
+    message_type = AnswerMessage
 
     def __init__(self) -> None:
         super().__init__()
@@ -255,7 +255,7 @@
         message = self.current
         message.head_done = True
         message.status = self.parser.get_status_code()
-        values = message.lowered()
+        values = message.values_by_name()
         connection = b",".join(values.get(b"connection", ())).lower()
         message.keep_alive = b"close" not in connection
         framed = b"content-length" in values or b"transfer-encoding" in values
@@ -277,7 +277,7 @@
     kept : frozenset of bytes
         Lower-case names that a ``Connection`` header can't take away.
     """
-    dropped = set(HOP_BY_HOP)
+    dropped = set(HOP_BY_HOP_HEADERS)
     for name, value in headers:
         if name.lower() == b"connection":
             dropped |= {part.strip().lower() for part in value.split(b",")} - kept
@@ -293,7 +293,7 @@
 
 def status_line(status: int, reason: bytes = b"") -> bytes:
     """Return an answer's first line."""
-    reason = reason or REASONS.get(status, "Status").encode()
+    reason = reason or REASON_PHRASES.get(status, "Status").encode()
     return b"HTTP/1.1 %d %s" % (status, reason)
 
 
--- a/packages/endive_gateway/src/endive_gateway/logstream.py
+++ b/packages/endive_gateway/src/endive_gateway/logstream.py
@@ -19,11 +19,11 @@
 """Lines begin as those of ``absl.logging`` do, which operators' tools read already."""
 
 LINES_PER_S = 400.0
-LINES_AT_ONCE = 2000.0
+BURST_LINES = 2000.0
 """Lines written each second, and at once beyond that. The busiest node of the users
 writes 60 a second; a line costs 40 us."""
 
-PENDING_BYTES = 65_536
+MAX_PENDING_BYTES = 65_536
 """Most bytes kept for a reader that is slow: what a pipe holds once more."""
 
 
@@ -41,20 +41,20 @@
         os.set_blocking(descriptor, False)
         self.pending = b""
         self.dropped = 0
-        self.tokens = LINES_AT_ONCE
-        self.filled_at = time.monotonic()
+        self.tokens = BURST_LINES
+        self.refilled_at = time.monotonic()
 
     def write(self, text: str) -> int:
         """Write a line, or drop it."""
         if not text.strip():
             return len(text)
-        if not self._may_write():
+        if not self._take_token():
             self.dropped += 1
             return len(text)
         line = text if text.endswith("\n") else text + "\n"
         if self.dropped:
             line = f"event=logs_dropped lines={self.dropped}\n{line}"
-        if len(self.pending) + len(line) > PENDING_BYTES:
+        if len(self.pending) + len(line) > MAX_PENDING_BYTES:
             self.dropped += 1
             self.flush()
             return len(text)
@@ -63,11 +63,11 @@
         self.flush()
         return len(text)
 
-    def _may_write(self) -> bool:
+    def _take_token(self) -> bool:
         now = time.monotonic()
-        self.tokens += (now - self.filled_at) * LINES_PER_S
-        self.tokens = min(LINES_AT_ONCE, self.tokens)
-        self.filled_at = now
+        self.tokens += (now - self.refilled_at) * LINES_PER_S
+        self.tokens = min(BURST_LINES, self.tokens)
+        self.refilled_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/packages/endive_gateway/src/endive_gateway/metrics.py
+++ b/packages/endive_gateway/src/endive_gateway/metrics.py
@@ -15,7 +15,7 @@
 
 from endive_gateway.http import encode_head, status_line
 
-BOUNDS_S = (0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 5.0, 15.0)
+BUCKET_BOUNDS_S = (0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 5.0, 15.0)
 """Upper bounds of the latency buckets, seconds: fine around the targets of 0.15 to 0.6
 that routes declare."""
 
@@ -24,20 +24,20 @@
 Gauge = Callable[[], float]
 
 
-class Latencies:
+class LatencyHistogram:
     """Counts by bucket of a time in seconds."""
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(BOUNDS_S) + 1)
+        self.counts = [0] * (len(BUCKET_BOUNDS_S) + 1)
 
-    def add(self, seconds: float) -> None:
+    def observe(self, seconds: float) -> None:
         """Count one time."""
-        self.counts[bisect_left(BOUNDS_S, seconds)] += 1
+        self.counts[bisect_left(BUCKET_BOUNDS_S, seconds)] += 1
 
     def cumulative(self) -> Iterable[tuple[str, int]]:
         """Yield each bucket's bound with the count up to it."""
         total = 0
-        for bound, count in zip((*BOUNDS_S, "+Inf"), self.counts, strict=True):
+        for bound, count in zip((*BUCKET_BOUNDS_S, "+Inf"), self.counts, strict=True):
             total += count
             yield str(bound), total
 
@@ -61,10 +61,10 @@
         self.outcomes: Counter[str] = Counter()
         self.retries: Counter[str] = Counter()
         self.events: Counter[str] = Counter()
-        self.first_bytes = Latencies()
-        self.whole = Latencies()
+        self.first_byte_times = LatencyHistogram()
+        self.answer_times = LatencyHistogram()
         self.gauges: dict[str, dict[tuple[tuple[str, str], ...], Gauge]] = {}
-        self.page_maker = None
+        self.render_page = None
 
     def show(self, name: str, gauge: Gauge, **labels: str) -> None:
         """Let the page show what `gauge` returns; before the page is first made."""
@@ -72,11 +72,11 @@
 
     def page(self) -> bytes:
         """Return the scrape page."""
-        if self.page_maker is None:
-            self.page_maker = self._make_page_maker()
-        return self.page_maker()
+        if self.render_page is None:
+            self.render_page = self._make_page_renderer()
+        return self.render_page()
 
-    def _make_page_maker(self):
+    def _make_page_renderer(self):
         from opentelemetry.exporter.prometheus import PrometheusMetricReader
         from opentelemetry.metrics import Observation
         from opentelemetry.sdk.metrics import MeterProvider
@@ -89,13 +89,13 @@
         provider = MeterProvider(metric_readers=[reader], shutdown_on_exit=False)
         meter = provider.get_meter("endivestack.gateway")
 
-        def observe(name: str, label: str, counts) -> None:
+        def add_counter(name: str, label: str, counts) -> None:
             meter.create_observable_counter(
                 name,
                 [lambda _options: [Observation(n, {label: k}) for k, n in counts()]],
             )
 
-        def watch(name: str, gauges) -> None:
+        def add_gauge_callbacks(name: str, gauges) -> None:
             meter.create_observable_gauge(
                 name,
                 [
@@ -107,12 +107,12 @@
             )
 
         for name, gauges in self.gauges.items():
-            watch(name, gauges)
-        observe("endive_requests", "outcome", self.outcomes.items)
-        observe("endive_retries", "reason", self.retries.items)
-        observe("endive_events", "name", self.events.items)
-        observe("endive_first_byte_bucket", "le", self.first_bytes.cumulative)
-        observe("endive_answer_bucket", "le", self.whole.cumulative)
+            add_gauge_callbacks(name, gauges)
+        add_counter("endive_requests", "outcome", self.outcomes.items)
+        add_counter("endive_retries", "reason", self.retries.items)
+        add_counter("endive_events", "name", self.events.items)
+        add_counter("endive_first_byte_bucket", "le", self.first_byte_times.cumulative)
+        add_counter("endive_answer_bucket", "le", self.answer_times.cumulative)
         return lambda: generate_latest(registry)
 
 
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -27,7 +27,7 @@
 own time for it: the server takes turns with other requests' tokens. Measured 25.8 by
 17.7, 13.3 by 9.1 and 15.8 by 10.9 microseconds on three kinds of engines."""
 
-FAILURES_PAUSE = 2
+FAILURES_BEFORE_PAUSE = 2
 """Failures in a row after which a server gets no work for a while. A single lost
 answer says little of the server; the second in a row is likely a crash."""
 
@@ -72,7 +72,7 @@
         self.nodes = 1
         self.services: dict[str, Service] = {}
         self.views: dict[str, ServerView] = {}
-        self.in_a_row: Counter[str] = Counter()
+        self.consecutive_failures: Counter[str] = Counter()
         self.suspicions = Suspicions()
         self.backlogs = Backlogs()
         self.is_listening = is_listening
@@ -103,7 +103,7 @@
                 scheduler = self.schedulers[name] = Scheduler.from_policy(
                     self.policy,
                     self.random,
-                    service_type=_type(service),
+                    service_type=_service_type(service),
                     crashes=self.crashes,
                     prefill=PrefillRate() if service.engine else None,
                 )
@@ -116,10 +116,10 @@
             views = [self._view(entry, service, rate) for entry in usable]
             scheduler.set_servers(views)
             self.pump(scheduler)
-        taking = {s.entry.id for s in self.registry.servers.values() if s.usable}
-        for gone in self.views.keys() - taking:
+        usable_ids = {s.entry.id for s in self.registry.servers.values() if s.usable}
+        for gone in self.views.keys() - usable_ids:
             del self.views[gone]
-            self.in_a_row.pop(gone, None)
+            self.consecutive_failures.pop(gone, None)
 
     def _view(self, entry: ServerEntry, service: Service, rate: float) -> ServerView:
         view = self.views.get(entry.id)
@@ -151,7 +151,7 @@
                     tokens[server.id] = server.starting_tokens
         return told_tokens(tokens)
 
-    def server_s(self, service: str, tokens: float) -> float:
+    def prefill_s(self, service: str, tokens: float) -> float:
         """Return a server's time for `tokens` of a prompt, seconds."""
         scheduler = self.schedulers.get(service)
         if scheduler is None or scheduler.prefill is None:
@@ -177,7 +177,7 @@
 
     def finished(self, ticket: Ticket, tokens: int) -> None:
         """Note a whole answer."""
-        self.in_a_row.pop(ticket.server, None)
+        self.consecutive_failures.pop(ticket.server, None)
         super().finished(ticket, tokens)
 
     def failed(
@@ -194,7 +194,7 @@
         verdict = scheduler.failed(
             ticket,
             self.now(),
-            self._weighed(ticket, reason, started=started),
+            self._effective_reason(ticket, reason, started=started),
             started=started,
             max_attempts=max_attempts,
         )
@@ -203,13 +203,15 @@
             raise refusal_error(verdict)
         self.queue_again(ticket, verdict.delay_s)
 
-    def gave_up(self, ticket: Ticket, reason: RetryReason, *, started: bool) -> None:
+    def count_final_failure(
+        self, ticket: Ticket, reason: RetryReason, *, started: bool
+    ) -> None:
         """Count a failed attempt after which there is no further one."""
         scheduler = self.owners[ticket]
-        reason = self._weighed(ticket, reason, started=started)
+        reason = self._effective_reason(ticket, reason, started=started)
         scheduler.blame(ticket, self.now(), reason, started=started)
 
-    def _weighed(
+    def _effective_reason(
         self, ticket: Ticket, reason: RetryReason, *, started: bool
     ) -> RetryReason:
         """Return the reason that counts: one lost answer says little of a server."""
@@ -217,12 +219,12 @@
             self.suspicions.failed(ticket.server, self.now())
         if reason is not RetryReason.SERVER_FAILED:
             return reason
-        self.in_a_row[ticket.server] += 1
-        if self.in_a_row[ticket.server] < FAILURES_PAUSE:
+        self.consecutive_failures[ticket.server] += 1
+        if self.consecutive_failures[ticket.server] < FAILURES_BEFORE_PAUSE:
             return RetryReason.SERVER_SLOW
         return reason
 
-    def note_break(self, ticket: Ticket, reason: RetryReason) -> None:
+    def count_crash(self, ticket: Ticket, reason: RetryReason) -> None:
         """Count a crash against a request that a server broke off, if it was one.
 
         A connection may break for many reasons; only a server that no longer listens
@@ -239,5 +241,5 @@
         self.owners[ticket].failures.suspect(ticket, name, self.now())
 
 
-def _type(service: Service) -> ServiceType:
+def _service_type(service: Service) -> ServiceType:
     return ServiceType.ENGINE if service.engine else ServiceType.PLAIN
--- a/packages/endive_gateway/src/endive_gateway/progress.py
+++ b/packages/endive_gateway/src/endive_gateway/progress.py
@@ -32,11 +32,11 @@
     prompt_tokens: float = 0.0
     uncached_tokens: float = 0.0
     yielded: bool = False
-    first_s: float | None = None
-    gap_s: float = 0.0
-    last_at: float = 0.0
+    first_byte_s: float | None = None
+    max_gap_s: float = 0.0
+    last_sent_at: float = 0.0
 
-    def sent(
+    def dispatched(
         self, queued_s: float, uncached_tokens: float, *, yielded: bool = False
     ) -> None:
         """Note that the request goes to a server."""
@@ -44,20 +44,20 @@
         self.uncached_tokens = uncached_tokens
         self.yielded = yielded
 
-    def passed(self, now: float) -> None:
+    def chunk_forwarded(self, now: float) -> None:
         """Note that a piece of the answer goes to the caller."""
-        if self.first_s is None:
-            self.first_s = now - self.received_at
+        if self.first_byte_s is None:
+            self.first_byte_s = now - self.received_at
         else:
-            self.gap_s = max(self.gap_s, now - self.last_at)
-        self.last_at = now
+            self.max_gap_s = max(self.max_gap_s, now - self.last_sent_at)
+        self.last_sent_at = now
 
     def fields(self) -> dict[str, int]:
         """Return what a log line shows: milliseconds and tokens, no zeros."""
         values = {
             "queued_ms": self.queued_s * 1000,
-            "first_ms": (self.first_s or 0.0) * 1000,
-            "gap_ms": self.gap_s * 1000,
+            "first_ms": (self.first_byte_s or 0.0) * 1000,
+            "gap_ms": self.max_gap_s * 1000,
             "prompt": self.prompt_tokens,
             "uncached": self.uncached_tokens,
             "yielded": self.yielded,
--- a/packages/endive_gateway/src/endive_gateway/prompts.py
+++ b/packages/endive_gateway/src/endive_gateway/prompts.py
@@ -13,14 +13,14 @@
 
 from endive_gateway.datagrams import DatagramPort
 
-NOTED_S = 0.3
+MIN_ANNOUNCED_PREFILL_S = 0.3
 """Time of a server that a prompt must take to be told at once, seconds: that of 12,000
 to 17,000 tokens. Of the heaviest traffic met these were ten of 380 prompts a second,
 ten datagrams a second for each node. Shorter ones are mostly computed before they
 could be avoided."""
 
 
-class Prompt(msgspec.Struct, array_like=True):
+class PromptAnnouncement(msgspec.Struct, array_like=True):
     """A prompt that was sent to a server."""
 
     server: str
@@ -39,17 +39,17 @@
     def __init__(
         self,
         backlogs: Backlogs,
-        others: Callable[[], list[str]],
+        peers: Callable[[], list[str]],
         now: Callable[[], float],
     ) -> None:
         self.backlogs = backlogs
-        self.others = others
+        self.peers = peers
         self.now = now
         self.datagrams = DatagramPort(
-            "prompts", msgspec.msgpack.Decoder(Prompt), self.hear
+            "prompts", msgspec.msgpack.Decoder(PromptAnnouncement), self.hear
         )
 
-    def sent(self, server: str, tokens: float, server_s: float) -> None:
+    def sent(self, server: str, tokens: float, prefill_s: float) -> None:
         """Note that this node has sent a prompt.
 
         Parameters
@@ -57,9 +57,9 @@
         server_s : float
             Time of the server that it takes, seconds.
         """
-        if server_s >= NOTED_S:
-            self.datagrams.send(Prompt(server, tokens), self.others())
+        if prefill_s >= MIN_ANNOUNCED_PREFILL_S:
+            self.datagrams.send(PromptAnnouncement(server, tokens), self.peers())
 
-    def hear(self, prompt: Prompt, address: str) -> None:
+    def hear(self, prompt: PromptAnnouncement, address: str) -> None:
         """Count another node's prompt."""
         self.backlogs.add(address, prompt.server, prompt.tokens, self.now())
--- a/packages/endive_gateway/src/endive_gateway/statuses.py
+++ b/packages/endive_gateway/src/endive_gateway/statuses.py
@@ -5,7 +5,7 @@
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses by which a caller knows that its request has not run and never will."""
 
-CALLERS_FAULT = frozenset({400, 401, 404, 413, 431})
+CALLER_ERROR_STATUSES = frozenset({400, 401, 404, 413, 431})
 """Statuses that tell a caller that it must change its request."""
 
 DEFAULT_RETRY_AFTER_S = 0.3
@@ -15,7 +15,7 @@
 
 def status_of(error: EndiveError, may_have_run: bool) -> int:
     """Return the status for an error, never promising what isn't so."""
-    if error.status in CALLERS_FAULT:
+    if error.status in CALLER_ERROR_STATUSES:
         return error.status
     if may_have_run:
         late = error.kind is ErrorKind.DEADLINE_EXCEEDED
@@ -23,7 +23,7 @@
     return 429 if error.kind is ErrorKind.LIMIT_EXCEEDED else 503
 
 
-def make_true(error: EndiveError, may_have_run: bool) -> int:
+def complete_error(error: EndiveError, may_have_run: bool) -> int:
     """Make `error` say what is so of a request, and return its status.
 
     A time to come back goes only with a promise that nothing has run.
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -126,7 +126,7 @@
     )
 
 
-def closed_table(**options):
+def authenticated_table(**options):
     """Return a table with one route that needs the key ``k`` of ``o``."""
     return make_table(
         make_route(public=False, **options),
@@ -291,7 +291,7 @@
         self.sock.close()
 
 
-def two(first, second=ok, **route):
+def gateway_with_two_servers(first, second=ok, **route):
     """Return a gateway before two servers of which the first asked follows `first`."""
     script = [first, second]
 
@@ -305,7 +305,7 @@
     return Running(*servers, table=make_table(make_route(**route)))
 
 
-def arrivals(running):
+def count_received_requests(running):
     """Return how many requests reached the servers of a running gateway."""
     return sum(len(server.seen) for server in running.servers)
 
--- a/packages/endive_gateway/tests/test_callers.py
+++ b/packages/endive_gateway/tests/test_callers.py
@@ -7,7 +7,7 @@
 )
 from gateway_builders import (
     Running,
-    arrivals,
+    count_received_requests,
     make_table,
 )
 from server_builders import (
@@ -36,7 +36,7 @@
         caller = running.caller()
         caller.raw(data)
         got = caller.receive()
-        assert arrivals(running) == 0
+        assert count_received_requests(running) == 0
     assert got.status == status
     assert got.json["error"]["message"]
 
--- a/packages/endive_gateway/tests/test_events.py
+++ b/packages/endive_gateway/tests/test_events.py
@@ -13,7 +13,7 @@
 def test_the_half_of_a_broken_event_is_dropped_before_a_new_run():
     splitter = EventSplitter()
     splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
-    splitter.restart()
+    splitter.discard_partial()
     assert splitter.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
 
 
--- a/packages/endive_gateway/tests/test_forwarding.py
+++ b/packages/endive_gateway/tests/test_forwarding.py
@@ -10,12 +10,12 @@
 from gateway_builders import (
     HOST,
     Running,
-    arrivals,
-    closed_table,
+    authenticated_table,
+    count_received_requests,
+    gateway_with_two_servers,
     make_entry,
     make_route,
     make_table,
-    two,
 )
 from server_builders import (
     ScriptedServer,
@@ -76,11 +76,11 @@
         )
         assert caller.receive().status == 400
         assert caller.ended()
-        assert arrivals(running) == 0
+        assert count_received_requests(running) == 0
 
 
 def test_what_a_caller_may_not_set_is_replaced():
-    with Running(ScriptedServer(), table=closed_table()) as running:
+    with Running(ScriptedServer(), table=authenticated_table()) as running:
         got = running.call(Key="k", Organisation="other", Meant="i-9", Wait_Ms="5000")
         seen = running.servers[0].seen[0]
     assert got.status == 200
@@ -95,11 +95,11 @@
     [({"Key": "other"}, 401), ({}, 401), ({"target": "/none", "Key": "k"}, 404)],
 )
 def test_what_the_configuration_does_not_allow_is_refused(options, status):
-    table = closed_table(path_prefix="/x/")
+    table = authenticated_table(path_prefix="/x/")
     with Running(ScriptedServer(), table=table) as running:
         options = {"target": "/x/", **options}
         assert running.call(**options).status == status
-        assert arrivals(running) == 0
+        assert count_received_requests(running) == 0
 
 
 def test_without_a_configuration_nothing_is_denied_for_good():
@@ -132,26 +132,26 @@
 
 def test_an_idempotent_request_goes_to_a_second_server_after_a_failure():
     for first in (failing, reset, full, raw(b"junk\r\n\r\n", close=True)):
-        with two(first) as running:
+        with gateway_with_two_servers(first) as running:
             assert running.call().status == 200
-            assert arrivals(running) == 2
+            assert count_received_requests(running) == 2
 
 
 def test_a_request_that_may_have_run_is_not_sent_again():
     """A server resets the connection after it got a booking. Sent to another server,
     the court would be booked twice; told "not run", the caller would do it."""
-    with two(reset, **UNSAFE | {"max_attempts": 3}) as running:
+    with gateway_with_two_servers(reset, **UNSAFE | {"max_attempts": 3}) as running:
         got = running.call(method="POST", body=b"{}")
-        assert arrivals(running) == 1
+        assert count_received_requests(running) == 1
     assert got.status == 502
     assert got.json["error"]["executed"] == "unknown"
     assert "retry-after" not in got.headers
 
 
 def test_a_server_that_did_not_run_a_request_lets_another_run_it():
-    with two(full, **UNSAFE | {"max_attempts": 2}) as running:
+    with gateway_with_two_servers(full, **UNSAFE | {"max_attempts": 2}) as running:
         assert running.call(method="POST", body=b"{}").status == 200
-        assert arrivals(running) == 2
+        assert count_received_requests(running) == 2
 
 
 def test_not_run_is_said_with_a_time_to_come_back():
@@ -168,14 +168,14 @@
 def test_a_servers_503_that_promises_nothing_is_not_passed_as_a_promise():
     """A server fails with 503 after it began to work. Passed on as it is, the caller
     would take it for "not run" and send a booking again."""
-    with two(answer(503, b"oops"), **UNSAFE) as running:
+    with gateway_with_two_servers(answer(503, b"oops"), **UNSAFE) as running:
         got = running.call(method="POST", body=b"{}")
     assert got.status == 502
     assert "signed" not in got.headers
 
 
 def test_a_servers_own_failure_is_passed_on_unchanged():
-    with two(failing, **UNSAFE) as running:
+    with gateway_with_two_servers(failing, **UNSAFE) as running:
         got = running.call(method="POST", body=b"{}")
     assert (got.status, got.body, got.headers["signed"]) == (500, b"failed", "yes")
 
@@ -198,10 +198,10 @@
 def test_a_server_at_anothers_address_is_not_asked_again():
     """A server ended and its address went to another one, which refuses what is not
     meant for it. Asked again and again, each request would lose a round trip."""
-    with two(elsewhere, **UNSAFE) as running:
+    with gateway_with_two_servers(elsewhere, **UNSAFE) as running:
         for _ in range(3):
             assert running.call(method="POST", body=b"{}").status == 200
-        assert arrivals(running) == 4
+        assert count_received_requests(running) == 4
 
 
 @pytest.mark.parametrize(
@@ -295,7 +295,7 @@
 
 
 def test_the_routes_timeout_ends_a_request_with_a_true_answer():
-    with two(silent, timeout_s=0.3, **UNSAFE) as running:
+    with gateway_with_two_servers(silent, timeout_s=0.3, **UNSAFE) as running:
         started = time.monotonic()
         got = running.call(method="POST", body=b"{}")
     assert got.status == 504
@@ -317,7 +317,7 @@
     having been sent, the request would take a place at a server and end in nothing."""
     with Running(ScriptedServer()) as running:
         got = running.call(Wait_Ms="60")
-        assert arrivals(running) == 0
+        assert count_received_requests(running) == 0
     assert got.status == 503
     assert got.json["error"]["executed"] == "no"
 
@@ -330,9 +330,9 @@
         gevent.sleep(0.25)
         return failing(sock, seen)
 
-    with two(late_failure, timeout_s=0.3) as running:
+    with gateway_with_two_servers(late_failure, timeout_s=0.3) as running:
         got = running.call()
-        assert arrivals(running) == 1
+        assert count_received_requests(running) == 1
     assert (got.status, got.body) == (500, b"failed")
 
 
@@ -343,7 +343,9 @@
     )
     with Running(ScriptedServer(), table=table) as running:
         got = [running.call(Key="k") for _ in range(3)]
-        assert arrivals(running) == sum(answer.status == 200 for answer in got)
+        assert count_received_requests(running) == sum(
+            answer.status == 200 for answer in got
+        )
     assert got[-1].status == 429
     assert float(got[-1].headers["retry-after"]) > 0
 
@@ -367,7 +369,7 @@
             server.script.append(fall_over)
         first = running.call(method="POST", body=b"poison", request_id="p1")
         again = running.call(method="POST", body=b"poison", request_id="p2")
-        assert arrivals(running) == 2
+        assert count_received_requests(running) == 2
         other = running.call(method="POST", body=b"fine", request_id="p3")
     assert first.status == 502
     assert again.status == 503
@@ -383,7 +385,7 @@
 
 
 def test_a_leaving_server_gets_nothing_new():
-    with two(ok) as running:
+    with gateway_with_two_servers(ok) as running:
         leaving = running.servers[0]
         running.context.registry.put(
             make_entry(
--- a/packages/endive_gateway/tests/test_logstream.py
+++ b/packages/endive_gateway/tests/test_logstream.py
@@ -2,7 +2,7 @@
 import time
 
 import pytest
-from endive_gateway.logstream import LINES_AT_ONCE, PENDING_BYTES, LogStream
+from endive_gateway.logstream import BURST_LINES, MAX_PENDING_BYTES, LogStream
 
 
 @pytest.fixture
@@ -41,7 +41,7 @@
     for _ in range(1500):
         stream.write("event=x " + "a" * 200 + "\n")
     assert time.monotonic() - started < 1.0
-    assert len(stream.pending) <= PENDING_BYTES
+    assert len(stream.pending) <= MAX_PENDING_BYTES
     assert stream.dropped > 0
     read_all(pipe[0])
     stream.flush()
@@ -57,7 +57,7 @@
     for _ in range(20_000):
         stream.write("event=x\n")
         total += len(read_all(pipe[0]).splitlines())
-    assert total < LINES_AT_ONCE * 1.5
+    assert total < BURST_LINES * 1.5
 
 
 def test_a_reader_that_is_gone_is_no_error(pipe):
--- a/packages/endive_gateway/tests/test_metrics.py
+++ b/packages/endive_gateway/tests/test_metrics.py
@@ -1,12 +1,12 @@
-from endive_gateway.metrics import GatewayMetrics, Latencies, MetricsServer
+from endive_gateway.metrics import GatewayMetrics, LatencyHistogram, MetricsServer
 from gateway_builders import Caller, Running, make_route, make_table
 from server_builders import ScriptedServer, failing
 
 
 def test_times_fall_into_their_buckets():
-    made = Latencies()
+    made = LatencyHistogram()
     for seconds in (0.005, 0.05, 0.051, 99.0):
-        made.add(seconds)
+        made.observe(seconds)
     assert dict(made.cumulative())["0.05"] == 2
     assert dict(made.cumulative())["0.1"] == 3
     assert dict(made.cumulative())["+Inf"] == 4
@@ -20,14 +20,14 @@
         metrics = running.context.metrics
     assert metrics.outcomes["ok"] == 3
     assert sum(metrics.retries.values()) <= 1
-    assert sum(metrics.whole.counts) == 3
+    assert sum(metrics.answer_times.counts) == 3
 
 
 def test_the_page_shows_what_was_counted():
     metrics = GatewayMetrics()
     metrics.outcomes["ok"] = 5
     metrics.retries["connect_failed"] = 2
-    metrics.whole.add(0.03)
+    metrics.answer_times.observe(0.03)
     metrics.show("endive_store_answer_age_seconds", lambda: 2.5, topic="servers")
     server = MetricsServer("127.0.0.1", 0, metrics)
     server.start()
--- a/packages/endive_gateway/tests/test_prompts.py
+++ b/packages/endive_gateway/tests/test_prompts.py
@@ -1,13 +1,13 @@
 import gevent
 from endive_core.backlogs import Backlogs
-from endive_gateway.prompts import NOTED_S, PromptNotes
+from endive_gateway.prompts import MIN_ANNOUNCED_PREFILL_S, PromptNotes
 
 RATE = 40_000.0
 PORT = 47_821
 
 
-def make_notes(others=("127.0.0.1",)):
-    return PromptNotes(Backlogs(), lambda: list(others), lambda: 10.0)
+def make_notes(peers=("127.0.0.1",)):
+    return PromptNotes(Backlogs(), lambda: list(peers), lambda: 10.0)
 
 
 def test_other_nodes_hear_of_a_long_prompt_at_once():
@@ -23,7 +23,9 @@
 
 def test_short_prompts_cost_no_datagram():
     notes = make_notes()
-    notes.sent("s1", 1_000.0, 0.9 * NOTED_S)  # no port is open, so sending would fail
+    notes.sent(
+        "s1", 1_000.0, 0.9 * MIN_ANNOUNCED_PREFILL_S
+    )  # no port is open, so sending would fail
 
 
 def test_rubbish_is_dropped():
--- a/packages/endive_gateway/tests/test_streams.py
+++ b/packages/endive_gateway/tests/test_streams.py
@@ -9,10 +9,10 @@
 from gateway_builders import (
     SERVICE,
     Running,
-    arrivals,
+    count_received_requests,
+    gateway_with_two_servers,
     make_route,
     make_table,
-    two,
 )
 from server_builders import (
     ScriptedServer,
@@ -44,7 +44,7 @@
 def test_a_broken_stream_goes_on_at_another_server_after_its_last_event():
     """A server crashes in the middle of an event. The caller sees one stream: each
     event once, none missing, none made of two halves."""
-    with two(
+    with gateway_with_two_servers(
         events(1, 3, cut=b"id: 4\nda", end=False), events(4, 6), **RESUMABLE
     ) as running:
         got = running.call()
@@ -57,15 +57,19 @@
 
 
 def test_a_broken_stream_that_can_not_be_resumed_does_not_look_whole():
-    with two(events(1, 3, end=False), events(4, 6), **STREAM) as running:
+    with gateway_with_two_servers(
+        events(1, 3, end=False), events(4, 6), **STREAM
+    ) as running:
         got = running.call()
-        assert arrivals(running) == 1
+        assert count_received_requests(running) == 1
     assert got.status == 200
     assert not got.whole
 
 
 def test_a_stream_whose_second_server_fails_too_does_not_look_whole():
-    with two(events(1, 3, end=False), reset, **RESUMABLE) as running:
+    with gateway_with_two_servers(
+        events(1, 3, end=False), reset, **RESUMABLE
+    ) as running:
         got = running.call()
     assert not got.whole
     assert got.body == b"".join(event(number) for number in range(1, 4))
