--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the gateway: its wire, its parts, and callers."""
+"""Builders for tests of the gateway: a wire, gateways in front of servers, callers."""
 
 import json
 
@@ -39,7 +39,7 @@
 
 
 class PlainWire:
-    """Headers with names of the tests' own."""
+    """A wire that uses header names of the tests' own."""
 
     def decode_request(self, headers):
         facts = RequestFacts(_text(headers, b"id"))
@@ -99,7 +99,7 @@
 
 
 def make_route(**options):
-    """Return a route with everything a test doesn't care for."""
+    """Return a route with defaults for all options not given."""
     values = {
         "name": "r",
         "host": HOST,
@@ -115,7 +115,7 @@
 
 
 def make_table(*routes, version=1, organisations=None, keys=None, **options):
-    """Return a routing table; without routes, with one that takes all."""
+    """Return a routing table; by default its only route matches all paths."""
     return RoutingTable(
         version=version,
         routes=routes or (make_route(),),
@@ -127,7 +127,7 @@
 
 
 def authenticated_table(**options):
-    """Return a table with one route that needs the key ``k`` of ``o``."""
+    """Return a table whose only route requires the key ``k`` of organisation ``o``."""
     return make_table(
         make_route(public=False, **options),
         organisations={"o": OrganisationTerms("o")},
@@ -136,7 +136,7 @@
 
 
 def make_context(table=None, *, store=None, cloud=None, node="n1", bounds=None):
-    """Return a context without any loop running."""
+    """Return a context whose background loops are not running."""
     settings = GatewaySettings(
         place=Place(node, "127.0.0.1", "z", 0, 0, 0, zones=("z",)),
         bounds=bounds or Bounds(),
@@ -151,13 +151,13 @@
 
 
 def make_entry(server_id="i-1", **options):
-    """Return a server's entry."""
+    """Return a server's registration entry."""
     values = {"service": SERVICE, "address": "127.0.0.1:1", "zone": "z", "slots": 8}
     return ServerEntry(server_id, **(values | options))
 
 
 class Running:
-    """A gateway's path with scripted servers behind it."""
+    """A gateway's request path in front of scripted servers."""
 
     def __init__(self, *servers, table=None):
         self.servers = servers
@@ -179,7 +179,7 @@
         return Caller(self.listener.port)
 
     def call(self, *args, **options):
-        """Send one request on a connection of its own and return its answer."""
+        """Send one request on a new connection and return its answer."""
         caller = self.caller()
         caller.send(*args, **options)
         return caller.receive()
@@ -195,12 +195,12 @@
 
 
 class Answer:
-    """One answer as a caller got it.
+    """One answer as a caller received it.
 
     Attributes
     ----------
     whole : bool
-        Whether it came to its proper end.
+        Whether it is complete.
     """
 
     def __init__(self, status, headers, body, whole):
@@ -215,7 +215,7 @@
 
 
 class Caller:
-    """A caller's connection, with bytes as a test wants them."""
+    """A caller's connection, on which a test can also send raw bytes."""
 
     ids = iter(range(1, 1_000_000))
 
@@ -287,12 +287,12 @@
         return not self._more()
 
     def close(self):
-        """Hang up."""
+        """Close the connection."""
         self.sock.close()
 
 
 def gateway_with_two_servers(first, second=ok, **route):
-    """Return a gateway before two servers of which the first asked follows `first`."""
+    """Return a gateway and two servers; the first request follows `first`."""
     script = [first, second]
 
     def next_entry(sock, seen):
@@ -306,10 +306,10 @@
 
 
 def count_received_requests(running):
-    """Return how many requests reached the servers of a running gateway."""
+    """Return how many requests the servers of a running gateway received."""
     return sum(len(server.seen) for server in running.servers)
 
 
 def fixed_time(context, wall):
-    """Let the context's true time stand at `wall`."""
+    """Set the context's true time to the constant `wall`, seconds."""
     context.true_time = TrueTime(lambda: 0.0, lambda: wall)
--- a/packages/endive_gateway/tests/test_callers.py
+++ b/packages/endive_gateway/tests/test_callers.py
@@ -68,8 +68,8 @@
 
 
 def test_a_stopping_node_says_so_and_closes_quiet_connections_only():
-    """A node is stopped while a caller sends on a kept connection. A request that was
-    read is answered; the connection closes after it and not before."""
+    """A node stops while a caller sends on a persistent connection. A request that was
+    read must be answered before the connection closes."""
     with Running(ScriptedServer(answer(body=b"one"))) as running:
         busy, idle = running.caller(), running.caller()
         running.listener.stopping = True
@@ -85,12 +85,13 @@
 
 
 def test_a_request_that_just_came_survives_the_closing_of_idle_connections():
-    """Idle connections are closed at the very moment at which a request comes on one.
-    Ended by a kill, its greenlet would pass the request on and then drop it."""
+    """A request arrives on an idle connection at the moment when those are closed. If
+    the greenlet were killed, it could send the request to a server first and then drop
+    it."""
     with Running(ScriptedServer()) as running:
         caller = running.caller()
         gevent.sleep(0.05)
         caller.send()
-        time.sleep(0.01)  # the bytes are there, and no greenlet has run yet
+        time.sleep(0.01)  # the bytes have arrived, but no greenlet has run
         running.listener.close_idle()
         assert caller.receive().status == 200
--- a/packages/endive_gateway/tests/test_forwarding.py
+++ b/packages/endive_gateway/tests/test_forwarding.py
@@ -65,8 +65,8 @@
 
 
 def test_a_smuggled_request_never_reaches_a_server():
-    """A caller hides a second request in the body of a first one whose length is
-    ambiguous. If a server ran it, it would run under somebody else's name."""
+    """Request smuggling: a second request is hidden in the body of one with an
+    ambiguous length. A server would run it with another caller's identity."""
     with Running(ScriptedServer()) as running:
         caller = running.caller()
         caller.raw(
@@ -103,8 +103,8 @@
 
 
 def test_without_a_configuration_nothing_is_denied_for_good():
-    """A node has just started and the store is away. A 404 or 401 would tell callers
-    that their request or key is wrong, and they would not come back."""
+    """A node starts while the store is unavailable. With 404 or 401, callers would take
+    their request or key for invalid and not retry."""
     with Running(ScriptedServer()) as running:
         running.context.table = None
         got = running.call()
@@ -138,8 +138,9 @@
 
 
 def test_a_request_that_may_have_run_is_not_sent_again():
-    """A server resets the connection after it got a booking. Sent to another server,
-    the court would be booked twice; told "not run", the caller would do it."""
+    """A server resets the connection after it received a non-idempotent request.
+    Retried at another server, the request could run twice; answered as not run, the
+    caller would retry it."""
     with gateway_with_two_servers(reset, **UNSAFE | {"max_attempts": 3}) as running:
         got = running.call(method="POST", body=b"{}")
         assert count_received_requests(running) == 1
@@ -166,8 +167,9 @@
 
 
 def test_a_servers_503_that_promises_nothing_is_not_passed_as_a_promise():
-    """A server fails with 503 after it began to work. Passed on as it is, the caller
-    would take it for "not run" and send a booking again."""
+    """A server answers 503 after it began the request. Forwarded as it is, the status
+    would mean "not run" to the caller, who would send a non-idempotent request
+    again."""
     with gateway_with_two_servers(answer(503, b"oops"), **UNSAFE) as running:
         got = running.call(method="POST", body=b"{}")
     assert got.status == 502
@@ -181,9 +183,9 @@
 
 
 def test_a_server_that_fails_what_is_not_sent_again_gets_little_more():
-    """One of three servers answers each request with 500 at once and looks idle, and
-    no request may be sent twice. Judged by repeats only, it would go on to get a third
-    of all requests, and each of their callers a failure."""
+    """One of three servers answers each request with 500 immediately, so it looks idle,
+    and no request may be retried. If only retried requests counted against a server, it
+    would keep getting a third of all requests and fail them."""
     servers = [ScriptedServer(server_id=f"i-{number}") for number in range(3)]
     servers[1].script = [failing] * 90
     got = []
@@ -196,8 +198,8 @@
 
 
 def test_a_server_at_anothers_address_is_not_asked_again():
-    """A server ended and its address went to another one, which refuses what is not
-    meant for it. Asked again and again, each request would lose a round trip."""
+    """A server's address now belongs to another server, which refuses requests for the
+    first with 421. Each further request to it would waste a round trip."""
     with gateway_with_two_servers(elsewhere, **UNSAFE) as running:
         for _ in range(3):
             assert running.call(method="POST", body=b"{}").status == 200
@@ -240,8 +242,8 @@
 
 
 def test_a_late_extra_answer_is_nobodys():
-    """A server answers one request twice. The second answer comes where the next
-    request's is due, and its caller would get a stranger's data."""
+    """A server answers one request twice. The second answer arrives where the next
+    request's is expected, and that request's caller would get another caller's data."""
 
     def twice(sock, seen):
         sock.sendall(encoded(seen) + encoded(seen, body=b"again"))
@@ -265,8 +267,8 @@
 
 
 def test_an_early_answer_to_a_long_body_spoils_no_other_request():
-    """A server rejects a long request before it has read it, keeps the connection and
-    reads on. The next request's head would be read as the rest of that body."""
+    """A server rejects a large request before it has read the body, and keeps the
+    connection. It would read the next request's head as a part of that body."""
 
     with Running(ScriptedServer()) as running:
         server = running.servers[0]
@@ -281,7 +283,7 @@
 
 
 def test_a_caller_that_leaves_ends_its_request_at_the_server():
-    """Nobody waits for the answer any more; a server that works on holds a slot."""
+    """Otherwise an abandoned request would keep its slot at the server."""
     with Running(ScriptedServer(silent)) as running:
         caller = running.caller()
         caller.send()
@@ -313,8 +315,8 @@
 
 
 def test_a_request_without_time_for_an_answer_reaches_no_server():
-    """A caller waits for 60 ms longer where answers take a second. Sent for the sake of
-    having been sent, the request would take a place at a server and end in nothing."""
+    """A caller waits 60 ms at most where answers take a second. Sent anyway, the
+    request would occupy a slot at a server for no result."""
     with Running(ScriptedServer()) as running:
         got = running.call(Wait_Ms="60")
         assert count_received_requests(running) == 0
@@ -323,8 +325,8 @@
 
 
 def test_a_servers_failure_is_passed_on_when_no_time_is_left_for_another():
-    """The first server fails 0.25 s into the 0.3 s of its route. A second one could not
-    answer any more, and the caller would lose the failure that is there."""
+    """The first server fails 0.25 s into the route's time-out of 0.3 s. A second server
+    could not answer in time, and the first server's error answer would be lost."""
 
     def late_failure(sock, seen):
         gevent.sleep(0.25)
@@ -351,29 +353,30 @@
 
 
 def crash(sock, seen):
-    """End the whole server, as a request does that crashes it."""
+    """Close the connection and tell the scripted server to stop serving it."""
     sock.close()
     return False
 
 
 def test_a_request_that_crashes_servers_is_refused_from_the_second_crash_on():
-    """One request crashes each server that runs it, and its caller sends it again. Sent
-    on and on, it would take down the servers one by one with all streams on them."""
+    """One request crashes each server that runs it, and its caller retries it.
+    Forwarded each time, it would take down all servers one by one with the streams on
+    them."""
     with Running(*(ScriptedServer(server_id=f"i-{n}") for n in range(4))) as running:
         for server in running.servers:
 
-            def fall_over(sock, seen, server=server):
+            def crash_server(sock, seen, server=server):
                 server.stop()
                 return crash(sock, seen)
 
-            server.script.append(fall_over)
+            server.script.append(crash_server)
         first = running.call(method="POST", body=b"poison", request_id="p1")
         again = running.call(method="POST", body=b"poison", request_id="p2")
         assert count_received_requests(running) == 2
         other = running.call(method="POST", body=b"fine", request_id="p3")
     assert first.status == 502
     assert again.status == 503
-    assert other.status != 200  # the third server fell over for it, and no more did
+    assert other.status != 200  # the third server crashed on it, and no further one
 
 
 def test_no_server_is_told_at_once():
--- a/packages/endive_gateway/tests/test_http.py
+++ b/packages/endive_gateway/tests/test_http.py
@@ -47,8 +47,8 @@
     ],
 )
 def test_what_two_readers_may_understand_differently_is_refused(data):
-    """A request whose length is ambiguous ends in one place for this node and in
-    another for the server; what lies between runs there as somebody else's request."""
+    """Request smuggling: if this node and a server disagree where a request ends, the
+    server takes the bytes between for another caller's request."""
     with pytest.raises(BadMessageError):
         feed(data)
 
--- a/packages/endive_gateway/tests/test_logstream.py
+++ b/packages/endive_gateway/tests/test_logstream.py
@@ -34,8 +34,8 @@
 
 
 def test_a_reader_that_stalls_holds_nothing_up(pipe):
-    """Whoever collects the logs stops reading. The process must go on answering, and
-    say afterwards how many lines are missing."""
+    """The log collector stops reading. Writes must not block, and the next line written
+    must report how many lines were dropped."""
     stream = LogStream(pipe[1])
     started = time.monotonic()
     for _ in range(1500):
@@ -70,8 +70,8 @@
 
 
 def test_the_end_of_the_process_is_quiet(pipe):
-    """The logging library closes its stream when the process ends; a stream that can't
-    be closed left a traceback as the last words of each planned stop."""
+    """The logging library closes its stream when the process exits. A stream without
+    ``close`` logged a traceback at each planned stop."""
     stream = LogStream(pipe[1])
     stream.write("event=x\n")
     stream.close()
--- a/packages/endive_gateway/tests/test_placing.py
+++ b/packages/endive_gateway/tests/test_placing.py
@@ -26,7 +26,7 @@
 
 
 def session_call(number, session, own_tokens):
-    """A prompt of an instruction that all share, a session's part and its own part."""
+    """Return a call whose prompt has a common, a session's and an own part."""
     parts = [(1, 512), (1_000 + session, 4_870), (10_000 + number, own_tokens)]
     blocks, ends = part_blocks("m", parts)
     return call(
@@ -39,23 +39,23 @@
 
 
 def test_nodes_send_a_session_to_one_server_without_talking(nodes):
-    """A session's requests come to all nodes, and no node knows what others have sent.
-    Each has long prompts under way, so that some server always looks idler than the one
-    that the session hashes to. Sent there, its part is computed once more: the caller
-    waits for 4,870 tokens, and so do all others at that server."""
-    chances = Random(3)
+    """A session's requests arrive at all nodes, which don't share what they have sent.
+    Each node has long prompts in progress, so some server always looks less loaded than
+    the one that the session hashes to. Sent there, the session's part is recomputed:
+    the caller and all others at that server wait for 4,870 tokens."""
+    rng = Random(3)
     most = 0
     for session in range(SESSIONS):
-        taken = Counter()
+        by_server = Counter()
         for number, node in enumerate(nodes):
-            other = SESSIONS + chances.randrange(200)
+            other = SESSIONS + rng.randrange(200)
             asked = session_call(number + NODES * session, session, 1_500)
             node.offer(session_call(5_000 + number, other, 3_000), 0.0)
             sent = dispatch_all(node)
             node.offer(asked, 0.0)
             sent += dispatch_all(node)
-            taken[sent[-1].server] += 1
+            by_server[sent[-1].server] += 1
             for dispatch in sent:
                 node.cancelled(dispatch.ticket, 0.1)
-        most += max(taken.values())
+        most += max(by_server.values())
     assert most / (NODES * SESSIONS) > 0.9
--- a/packages/endive_gateway/tests/test_prompts.py
+++ b/packages/endive_gateway/tests/test_prompts.py
@@ -6,34 +6,34 @@
 PORT = 47_821
 
 
-def make_notes(peers=("127.0.0.1",)):
+def make_announcer(peers=("127.0.0.1",)):
     return PromptNotes(Backlogs(), lambda: list(peers), lambda: 10.0)
 
 
 def test_other_nodes_hear_of_a_long_prompt_at_once():
-    """A node sends a prompt that takes its server a second. Until the others hear of
-    it they send short ones there, which wait behind it."""
-    notes = make_notes()
-    notes.datagrams.start("127.0.0.1", PORT)
-    notes.sent("s1", 40_000.0, 1.0)
+    """A node sends a prompt that occupies its server for a second. Other nodes that
+    don't know of it send short prompts there, which wait behind it."""
+    announcer = make_announcer()
+    announcer.datagrams.start("127.0.0.1", PORT)
+    announcer.sent("s1", 40_000.0, 1.0)
     gevent.sleep(0.05)
-    notes.datagrams.stop()
-    assert notes.backlogs.tokens("s1", 10.0, RATE) == 40_000.0
+    announcer.datagrams.stop()
+    assert announcer.backlogs.tokens("s1", 10.0, RATE) == 40_000.0
 
 
 def test_short_prompts_cost_no_datagram():
-    notes = make_notes()
-    notes.sent(
+    announcer = make_announcer()
+    announcer.sent(
         "s1", 1_000.0, 0.9 * MIN_ANNOUNCED_PREFILL_S
-    )  # no port is open, so sending would fail
+    )  # sending would fail: no port is open
 
 
 def test_rubbish_is_dropped():
-    notes = make_notes()
-    notes.datagrams.start("127.0.0.1", PORT + 1)
+    announcer = make_announcer()
+    announcer.datagrams.start("127.0.0.1", PORT + 1)
     for data in (b"", b"\xc1", b"\x92\x01\x02"):
-        notes.datagrams.socket.sendto(data, ("127.0.0.1", PORT + 1))
-    notes.sent("s2", 20_000.0, 0.5)
+        announcer.datagrams.socket.sendto(data, ("127.0.0.1", PORT + 1))
+    announcer.sent("s2", 20_000.0, 0.5)
     gevent.sleep(0.05)
-    notes.datagrams.stop()
-    assert notes.backlogs.tokens("s2", 10.0, RATE) == 20_000.0
+    announcer.datagrams.stop()
+    assert announcer.backlogs.tokens("s2", 10.0, RATE) == 20_000.0
--- a/packages/endive_gateway/tests/test_streams.py
+++ b/packages/endive_gateway/tests/test_streams.py
@@ -42,8 +42,8 @@
 
 
 def test_a_broken_stream_goes_on_at_another_server_after_its_last_event():
-    """A server crashes in the middle of an event. The caller sees one stream: each
-    event once, none missing, none made of two halves."""
+    """A server crashes in the middle of an event. The caller must receive each event
+    once, none missing and none made up of parts from two servers."""
     with gateway_with_two_servers(
         events(1, 3, cut=b"id: 4\nda", end=False), events(4, 6), **RESUMABLE
     ) as running:
@@ -84,8 +84,9 @@
 
 
 def test_a_prompt_that_will_be_late_goes_behind_the_others_at_its_server():
-    """A prompt of 90,000 tokens holds the only engine for more than a second. Whoever
-    comes next is late by then, and must not make those late who come after it."""
+    """A prompt of 90,000 tokens occupies the only engine for more than a second. The
+    next request misses its target anyway, and must not delay the requests that
+    follow."""
     route = STREAM | {"engine": True, "target_s": 0.3, "priority": 2, "max_attempts": 1}
     table = make_table(make_route(**route))
     table.services[SERVICE] = Service(SERVICE, engine=Engine(slots=64))
@@ -102,5 +103,5 @@
         second.send(method="POST", body=b"b", tokens="500,5")
         assert second.receive().status == 200
         assert first.receive().status == 200
-        ranks = [seen.headers["urgency"] for seen in running.servers[0].seen]
-    assert ranks == ["2", "9"]
+        urgencies = [seen.headers["urgency"] for seen in running.servers[0].seen]
+    assert urgencies == ["2", "9"]
