--- a/packages/endive_gateway/src/endive_gateway/http.py
+++ b/packages/endive_gateway/src/endive_gateway/http.py
@@ -139,7 +139,7 @@
         self.messages.append(self.current)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        # Fields after the head are trailers, which are dropped.
+        # Fields after the head are trailers, which no code here needs.
         if not self.current.head_done:
             self.current.headers.append((name, value))
 
