--- a/packages/endive_gateway/src/endive_gateway/__init__.py
+++ b/packages/endive_gateway/src/endive_gateway/__init__.py
@@ -10,11 +10,12 @@
   ``clocks``, ``loops``
 - callers' connections: ``callers``, ``http``, ``statuses``, ``progress``
 - forwarding to servers: ``forwarding``, ``attempts``, ``connections``, ``events``,
-  ``placing``, ``working``
+  ``placing``, ``workload``
 - the platform's state, as this node knows it: ``following``, ``configuration``,
-  ``servers``, ``documents``, ``listing``
-- messages between nodes: ``peers``, ``nodes``, ``tellings``, ``datagrams``,
+  ``servers``,
+  ``configuration_exchange``, ``listing``
+- messages between nodes: ``peers``, ``nodes``, ``state_messages``, ``datagrams``,
   ``spending``, ``prompts``
-- cluster-wide duties, performed by one node at a time: ``duties``, ``ordering``
+- cluster-wide duties, performed by one node at a time: ``duties``, ``autoscaling``
 - observability: ``logstream``, ``metrics``
 """
--- a/packages/endive_gateway/src/endive_gateway/connections.py
+++ b/packages/endive_gateway/src/endive_gateway/connections.py
@@ -11,9 +11,13 @@
 import gevent
 from gevent import socket as gsocket
 
-from endive_gateway.exceptions import BadMessageError, BrokenError, ConnectionEndedError
+from endive_gateway.exceptions import (
+    BadMessageError,
+    ConnectionBrokenError,
+    ConnectionEndedError,
+)
 from endive_gateway.http import ResponseMessage, ResponseParser
-from endive_gateway.interfaces import AnswerFacts, Wire, header_value
+from endive_gateway.interfaces import ResponseMetadata, Wire, header_value
 
 CONNECT_TIMEOUT_S = 0.6
 """Time-out for opening a connection, seconds. Within a region it takes a few
@@ -70,7 +74,7 @@
         self.reusable = True
         self.sender: gevent.Greenlet | None = None
 
-    def is_quiet(self, now: float) -> bool:
+    def is_reusable(self, now: float) -> bool:
         """Return whether the idle connection can carry another request.
 
         It can't if the server has closed it or sent unexpected bytes, or if the
@@ -87,7 +91,7 @@
         return False
 
     def send(self, head: bytes, body: bytes) -> None:
-        """Send a request; raises :class:`BrokenError`."""
+        """Send a request; raises :class:`ConnectionBrokenError`."""
         self.requests += 1
         self.parser.messages.clear()
         try:
@@ -97,7 +101,7 @@
                 self.sock.sendall(head)
                 self.sender = gevent.spawn(self._send_body, body)
         except OSError as error:
-            raise BrokenError(
+            raise ConnectionBrokenError(
                 f"sending the request failed: {error}", sent=True
             ) from None
 
@@ -141,7 +145,7 @@
                 message.complete = True
 
     def read_all(self, message: ResponseMessage) -> bytes:
-        """Return the rest of the body; raises :class:`BrokenError`."""
+        """Return the rest of the body; raises :class:`ConnectionBrokenError`."""
         pieces = []
         while data := self.read_body(message):
             pieces.append(data)
@@ -151,7 +155,7 @@
         try:
             data = self.sock.recv(READ_BYTES)
         except OSError as error:
-            raise BrokenError(
+            raise ConnectionBrokenError(
                 f"reading the response failed: {error}", sent=True
             ) from None
         if not data:
@@ -161,7 +165,9 @@
         except BadMessageError as error:
             self.reusable = False
             if not any(message.complete for message in self.parser.messages):
-                raise BrokenError(f"malformed response: {error}", sent=True) from None
+                raise ConnectionBrokenError(
+                    f"malformed response: {error}", sent=True
+                ) from None
 
     def finish(self, message: ResponseMessage) -> bool:
         """Mark a response as read; return whether another request may be sent.
@@ -198,7 +204,7 @@
         """Connect to ``IP:port``; raises :class:`BrokenError`."""
         return cls(connect(address), wire)
 
-    def read_head(self, request_id: str) -> tuple[ResponseMessage, AnswerFacts]:
+    def read_head(self, request_id: str) -> tuple[ResponseMessage, ResponseMetadata]:
         """Return the response to `request_id` as soon as its head is complete.
 
         A server may send a second, late response to an earlier request. Such a response
@@ -212,13 +218,15 @@
         while True:
             while self.parser.messages and self.parser.messages[0].head_done:
                 message = self.parser.messages[0]
-                facts = self.wire.decode_answer(message.headers)
+                metadata = self.wire.decode_response(message.headers)
                 if message.status >= 200 and _is_response_to(
-                    message, facts, request_id
+                    message, metadata, request_id
                 ):
-                    return message, facts
+                    return message, metadata
                 if message.ends_with_connection:
-                    raise BrokenError("the server answered another request", sent=True)
+                    raise ConnectionBrokenError(
+                        "the server answered another request", sent=True
+                    )
                 if not message.complete:
                     break
                 if message.status >= 200:
@@ -239,10 +247,10 @@
         enable_keepalive(sock)
     except ConnectionRefusedError as error:
         sock.close()
-        raise BrokenError(str(error), sent=False, refused=True) from None
+        raise ConnectionBrokenError(str(error), sent=False, refused=True) from None
     except (OSError, ValueError) as error:
         sock.close()
-        raise BrokenError(str(error), sent=False) from None
+        raise ConnectionBrokenError(str(error), sent=False) from None
     except BaseException:
         sock.close()
         raise
@@ -279,13 +287,13 @@
 
 
 def _is_response_to(
-    message: ResponseMessage, facts: AnswerFacts, request_id: str
+    message: ResponseMessage, metadata: ResponseMetadata, request_id: str
 ) -> bool:
-    if facts.request_id:
-        return facts.request_id == request_id
+    if metadata.request_id:
+        return metadata.request_id == request_id
     # A server that refuses before it has read the request may send no id. A success
     # without an id could answer any request.
-    return message.status >= 400 and facts.not_run
+    return message.status >= 400 and metadata.not_run
 
 
 def _advertised_idle_timeout(message: ResponseMessage) -> float | None:
@@ -310,12 +318,12 @@
         self.opened = 0
 
     def acquire(self, server_id: str, address: str) -> ServerConnection:
-        """Return an idle or new connection to a server; raises :class:`BrokenError`."""
+        """Return an idle or new connection to a server; raises :class:`ConnectionBrokenError`."""
         idle = self.idle[server_id]
         now = time.monotonic()
         while idle:
             connection = idle.pop()
-            if connection.is_quiet(now):
+            if connection.is_reusable(now):
                 return connection
             connection.close()
         self.opened += 1
@@ -334,7 +342,7 @@
         """Close the idle connections that can't be used again."""
         now = time.monotonic()
         for server_id, idle in list(self.idle.items()):
-            while idle and not idle[0].is_quiet(now):
+            while idle and not idle[0].is_reusable(now):
                 idle.popleft().close()
             if not idle:
                 del self.idle[server_id]
--- a/packages/endive_gateway/src/endive_gateway/exceptions.py
+++ b/packages/endive_gateway/src/endive_gateway/exceptions.py
@@ -2,18 +2,18 @@
 
 from endive_core.exceptions import EndiveError, ErrorKind, RetryReason
 
-from endive_gateway.interfaces import ServerAnswer
+from endive_gateway.interfaces import ServerResponse
 
 
 class StoreError(Exception):
     """A call to the store that had no effect: refused, or not delivered."""
 
 
-class StoreUncertainError(StoreError):
+class StoreOutcomeUnknownError(StoreError):
     """A call to the store without a response: it may take effect, even later."""
 
 
-class StoreForgottenError(StoreError):
+class StoreOffsetOutOfRangeError(StoreError):
     """A read of records older than the store retains, which start at ``first``."""
 
     def __init__(self, first: int) -> None:
@@ -33,7 +33,7 @@
     """A call to the cloud's API that was refused or not answered."""
 
 
-class CloudEmptyError(CloudError):
+class CloudCapacityError(CloudError):
     """The cloud has no capacity for the ordered kind of server at present."""
 
 
@@ -59,7 +59,7 @@
         self.status = status
 
 
-class BrokenError(Exception):
+class ConnectionBrokenError(Exception):
     """A connection to a server that could not be opened, failed or ended early.
 
     Attributes
@@ -76,7 +76,7 @@
         self.refused = refused
 
 
-class ConnectionEndedError(BrokenError):
+class ConnectionEndedError(ConnectionBrokenError):
     """The server closed the connection (FIN) before the response was complete."""
 
 
@@ -112,7 +112,7 @@
         *,
         started: bool,
         counts_as_attempt: bool = True,
-        response: ServerAnswer | None = None,
+        response: ServerResponse | None = None,
     ) -> None:
         super().__init__(message)
         self.reason = reason
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -7,7 +7,7 @@
 from endive_core.exceptions import EndiveError, ErrorKind
 from endive_core.hashing import fingerprint
 from endive_core.prefixes import part_blocks
-from endive_core.routing import OrganisationTerms, Route, RouteKind
+from endive_core.routing import OrganisationLimits, Route, RouteKind
 from endive_node.logs import log_event, log_failure
 
 from endive_gateway.attempts import Attempt
@@ -22,7 +22,7 @@
     ResponseForwardedError,
 )
 from endive_gateway.http import host_name
-from endive_gateway.interfaces import RequestFacts, ServerAnswer, header_value
+from endive_gateway.interfaces import RequestMetadata, ServerResponse, header_value
 from endive_gateway.progress import Progress
 from endive_gateway.statuses import NOT_RUN_STATUSES, complete_error
 
@@ -74,10 +74,10 @@
     def __init__(self, context: Context, exchange: Exchange) -> None:
         self.context = context
         self.exchange = exchange
-        self.facts = RequestFacts("")
+        self.metadata = RequestMetadata("")
         self.progress = Progress(exchange.received_at)
         self.route: Route | None = None
-        self.terms: OrganisationTerms | None = None
+        self.terms: OrganisationLimits | None = None
         self.organisation = ""
         self.ticket: Ticket | None = None
         self.splitter = EventSplitter()
@@ -110,7 +110,7 @@
             self.outcome = "caller_gone"
             raise
         except Exception as error:
-            log_failure("request_failed", request=self.facts.id, error=repr(error))
+            log_failure("request_failed", request=self.metadata.id, error=repr(error))
             self.may_have_run |= self.in_flight
             self._refuse(EndiveError(ErrorKind.INTERNAL, repr(error)))
         finally:
@@ -123,7 +123,7 @@
         context = self.context
         message = self.exchange.message
         try:
-            self.facts = context.wire.decode_request(message.headers)
+            self.metadata = context.wire.decode_request(message.headers)
         except BadHeaderError as error:
             raise EndiveError(ErrorKind.INVALID_FIELD, str(error)) from None
         context.wait_until_initialised()
@@ -139,19 +139,19 @@
         self.route = table.match(host_name(host), path)
         if self.route is None:
             raise EndiveError(ErrorKind.NOT_FOUND, "no route matches the host and path")
-        if not table.allows(self.route, self.facts.key):
+        if not table.allows(self.route, self.metadata.key):
             raise EndiveError(
                 ErrorKind.UNAUTHENTICATED, "the key is missing or unknown"
             )
-        self.organisation = table.keys.get(self.facts.key, "")
+        self.organisation = table.keys.get(self.metadata.key, "")
         if table.organisations is not None:
             self.terms = table.organisations.get(self.organisation)
 
     def left_s(self) -> float:
         """Return the time left until the request's deadline, seconds."""
         budget = self.route.timeout_s
-        if self.facts.budget_s is not None:
-            budget = min(budget, self.facts.budget_s)
+        if self.metadata.budget_s is not None:
+            budget = min(budget, self.metadata.budget_s)
         return budget - (self.now - self.exchange.received_at)
 
     def _check_time(self) -> None:
@@ -180,50 +180,50 @@
         self.ticket = self.context.placer.admit(service, call)
 
     def _make_call(self) -> Call:
-        facts, route = self.facts, self.route
+        metadata, route = self.metadata, self.route
         priority = route.priority
         if self.terms is not None and self.terms.priority is not None:
             priority = self.terms.priority
         self.base_urgency = min(LOWEST_URGENCY, priority)
         blocks, ends = part_blocks(
-            facts.model, [(part.id, part.tokens) for part in facts.parts]
+            metadata.model, [(part.id, part.tokens) for part in metadata.parts]
         )
         now = self.now
-        self.progress.prompt_tokens = facts.prompt_tokens or 0
+        self.progress.prompt_tokens = metadata.prompt_tokens or 0
         spent = now - self.exchange.received_at
         content = b"\0".join(
-            (self.exchange.message.target, facts.key.encode(), self.exchange.body)
+            (self.exchange.message.target, metadata.key.encode(), self.exchange.body)
         )
         return Call(
-            request_id=facts.id,
+            request_id=metadata.id,
             organisation=self.organisation,
             deployment=route.name,
             level=-priority,
-            prompt_tokens=(facts.prompt_tokens or 0) if route.engine else 0,
-            max_tokens=max(1, facts.max_tokens or 1) if route.engine else 1,
+            prompt_tokens=(metadata.prompt_tokens or 0) if route.engine else 0,
+            max_tokens=max(1, metadata.max_tokens or 1) if route.engine else 1,
             blocks=blocks if route.engine else (),
             block_ends=ends if route.engine else (),
             target_s=max(0.01, route.target_s - spent),
             deadline=now + self.left_s(),
             fingerprint=fingerprint(content.decode("latin-1")),
-            non_idempotent=not route.repeatable,
+            non_idempotent=not route.retryable,
         )
 
     def _spend_quota(self, call: Call) -> None:
         terms = self.terms
         if terms is None or terms.rate <= 0:
             return
-        units = terms.units(self.facts.prompt_tokens, self.facts.max_tokens)
+        units = terms.units(self.metadata.prompt_tokens, self.metadata.max_tokens)
         wait = self.context.take_units(terms, units)
         if wait > 0:
             log_event(
                 "limit_exceeded",
-                request=self.facts.id,
+                request=self.metadata.id,
                 organisation=terms.name,
                 units=units,
                 rate=terms.rate,
                 wait_s=wait,
-                part=self.context.limits.part(self.now),
+                part=self.context.limits.reachable_share(self.now),
             )
             raise EndiveError(
                 ErrorKind.LIMIT_EXCEEDED,
@@ -254,7 +254,7 @@
                 return
 
     @property
-    def urgency(self) -> int:
+    def server_priority(self) -> int:
         """The urgency at the server, from 0, the highest, to LOWEST_URGENCY."""
         return LOWEST_URGENCY if self.ticket.yields else self.base_urgency
 
@@ -276,7 +276,7 @@
             since = self.exchange.received_at
             self.context.metrics.first_byte_times.observe(self.now - since)
             stream = self.route.kind is RouteKind.STREAM
-            at = self.context.true_time.now() if stream else self.sent_at
+            at = self.context.cluster_clock.now() if stream else self.sent_at
             self.context.meter.begin(self.organisation, at)
 
     # Failed attempts
@@ -296,7 +296,7 @@
         self.context.metrics.retries[str(error.reason)] += 1
         log_event(
             "attempt_failed",
-            request=self.facts.id,
+            request=self.metadata.id,
             server=self.servers[-1] if self.servers else "",
             attempt=self.ticket.attempt,
             reason=error.reason,
@@ -344,7 +344,7 @@
             )
         if not error.counts_as_attempt:
             return
-        if error.started and not self.route.repeatable:
+        if error.started and not self.route.retryable:
             raise EndiveError(
                 ErrorKind.OUTCOME_UNKNOWN,
                 "the request may have run and must not be retried",
@@ -361,7 +361,7 @@
                 ErrorKind.RETRY_BUDGET_SPENT, "the service's retry budget is used up"
             )
 
-    def _forward_failure(self, response: ServerAnswer) -> None:
+    def _forward_failure(self, response: ServerResponse) -> None:
         """Forward a server's own error response, then raise ResponseForwardedError.
 
         Raises
@@ -397,8 +397,10 @@
             return
         status = complete_error(error, self.may_have_run)
         if self.units and not self.may_have_run:
-            self.context.limits.give_back(self.terms.name, self.units)
-        self.exchange.refuse(error, status, self.context.wire.own_answer(self.facts))
+            self.context.limits.refund(self.terms.name, self.units)
+        self.exchange.refuse(
+            error, status, self.context.wire.own_response_headers(self.metadata)
+        )
 
     def _finish(self) -> None:
         if self.ticket is not None:
@@ -408,7 +410,7 @@
         self._count_outcome()
         log_event(
             "request",
-            request=self.facts.id,
+            request=self.metadata.id,
             route=self.route.name if self.route else "",
             organisation=self.organisation,
             outcome=self.outcome or "failed",
--- a/packages/endive_gateway/src/endive_gateway/metrics.py
+++ b/packages/endive_gateway/src/endive_gateway/metrics.py
@@ -70,7 +70,7 @@
         self.gauges: dict[str, dict[tuple[tuple[str, str], ...], Gauge]] = {}
         self.render_page = None
 
-    def show(self, name: str, gauge: Gauge, **labels: str) -> None:
+    def add_gauge(self, name: str, gauge: Gauge, **labels: str) -> None:
         """Add a gauge; must be called before the first page is rendered."""
         self.gauges.setdefault(name, {})[tuple(labels.items())] = gauge
 
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -5,9 +5,10 @@
 from collections import Counter
 from collections.abc import Callable
 
-from endive_core.backlogs import Backlogs, told_tokens
+from endive_core.backlogs import Backlogs, largest_backlogs
 from endive_core.calls import Call, Retry, Ticket
 from endive_core.crashes import CrashTable
+from endive_core.ejection import ClusterEjection
 from endive_core.exceptions import EndiveError, ErrorKind, RetryReason
 from endive_core.messages import ServerView
 from endive_core.policy import Policy
@@ -15,14 +16,13 @@
 from endive_core.routing import RoutingTable, Service
 from endive_core.scheduler import Scheduler
 from endive_core.service_types import ServiceType
-from endive_core.suspicions import Suspicions
 from endive_node.logs import log_event
 from endive_node.waiters import Waiters, crash_name, refusal_error
 
 from endive_gateway.interfaces import ServerEntry
 from endive_gateway.servers import ServerRegistry
 
-INTERLEAVED = 1.46
+INTERLEAVING_FACTOR = 1.46
 """Ratio of the time that one prompt token adds to the time to the first token, to the
 engine's own time for that token. It exceeds 1 because the engine interleaves the prompt
 with other requests' tokens. On three kinds of engines the times are 25.8 and 17.7, 13.3
@@ -84,7 +84,7 @@
         self.services: dict[str, Service] = {}
         self.views: dict[str, ServerView] = {}
         self.consecutive_failures: Counter[str] = Counter()
-        self.suspicions = Suspicions()
+        self.ejection = ClusterEjection()
         self.backlogs = Backlogs()
         self.is_listening = is_listening
         self.wall_time = time.time
@@ -119,7 +119,7 @@
                     prefill=PrefillRate() if service.engine else None,
                 )
                 scheduler.set_nodes(self.nodes)
-                scheduler.outliers.suspicions = self.suspicions
+                scheduler.outliers.ejection = self.ejection
                 if service.engine:
                     scheduler.placement.backlogs = self.backlogs
             usable = [s.entry for s in self.registry.of_service(name) if s.usable]
@@ -144,16 +144,16 @@
         view.reclaimable = entry.reclaimable
         return view
 
-    def held_parts(self) -> dict[str, float]:
+    def occupied_servers(self) -> dict[str, float]:
         """Return by service how many servers' slots this node's requests fill."""
         parts = {}
         for name, scheduler in self.schedulers.items():
             servers = scheduler.servers
             slots = servers.slots_total / max(1, len(servers.servers))
-            parts[name] = servers.own_total / slots if slots else 0.0
+            parts[name] = servers.own_in_flight / slots if slots else 0.0
         return parts
 
-    def tell_backlogs(self) -> dict[str, float]:
+    def own_backlogs(self) -> dict[str, float]:
         """Return by server the prompt tokens whose first tokens this node awaits.
 
         Only the entries that are worth sending to other nodes are included.
@@ -163,14 +163,14 @@
             if scheduler.prefill is not None:
                 for server in scheduler.servers.servers.values():
                     tokens[server.id] = server.starting_tokens
-        return told_tokens(tokens)
+        return largest_backlogs(tokens)
 
     def prefill_s(self, service: str, tokens: float) -> float:
         """Return a server's own time to prefill `tokens` prompt tokens, seconds."""
         scheduler = self.schedulers.get(service)
         if scheduler is None or scheduler.prefill is None:
             return 0.0
-        return tokens * scheduler.prefill.token_s / INTERLEAVED
+        return tokens * scheduler.prefill.seconds_per_token / INTERLEAVING_FACTOR
 
     # Requests
 
@@ -223,7 +223,7 @@
         """Record a failed attempt that is not retried."""
         scheduler = self.owners[ticket]
         reason = self._effective_reason(ticket, reason, started=started)
-        scheduler.blame(ticket, self.now(), reason, started=started)
+        scheduler.count_failure(ticket, self.now(), reason, started=started)
 
     def _effective_reason(
         self, ticket: Ticket, reason: RetryReason, *, started: bool
@@ -234,7 +234,7 @@
         response only.
         """
         if started and reason in (RetryReason.SERVER_FAILED, RetryReason.SERVER_SLOW):
-            self.suspicions.failed(ticket.server, self.now())
+            self.ejection.failed(ticket.server, self.now())
         if reason is not RetryReason.SERVER_FAILED:
             return reason
         self.consecutive_failures[ticket.server] += 1
@@ -255,7 +255,7 @@
             return
         log_event("server_crashed", server=view.id, request=ticket.call.request_id)
         name = crash_name(view.id, self.wall_time())
-        self.owners[ticket].failures.suspect(ticket, name, self.now())
+        self.owners[ticket].failures.attribute_crash(ticket, name, self.now())
 
 
 def _service_type(service: Service) -> ServiceType:
--- a/packages/endive_gateway/src/endive_gateway/prompts.py
+++ b/packages/endive_gateway/src/endive_gateway/prompts.py
@@ -27,7 +27,7 @@
     tokens: float
 
 
-class PromptNotes:
+class PromptAnnouncer:
     """Announces this node's long prompts and receives other nodes' announcements.
 
     Parameters
@@ -48,10 +48,10 @@
         self.peers = peers
         self.now = now
         self.datagrams = DatagramPort(
-            "prompts", msgspec.msgpack.Decoder(PromptAnnouncement), self.hear
+            "prompts", msgspec.msgpack.Decoder(PromptAnnouncement), self.receive
         )
 
-    def sent(self, server: str, tokens: float, prefill_s: float) -> None:
+    def announce(self, server: str, tokens: float, prefill_s: float) -> None:
         """Announce a prompt that this node has sent to a server, if it is long.
 
         Parameters
@@ -64,6 +64,6 @@
         if prefill_s >= MIN_ANNOUNCED_PREFILL_S:
             self.datagrams.send(PromptAnnouncement(server, tokens), self.peers())
 
-    def hear(self, prompt: PromptAnnouncement, address: str) -> None:
+    def receive(self, prompt: PromptAnnouncement, address: str) -> None:
         """Record another node's prompt."""
         self.backlogs.add(address, prompt.server, prompt.tokens, self.now())
--- a/packages/endive_gateway/src/endive_gateway/working.py
+++ b/packages/endive_gateway/src/endive_gateway/workload.py
@@ -8,7 +8,7 @@
 intervals, and single requests must not."""
 
 
-class WorkMeter:
+class WorkloadMeter:
     """Meters the workload by service, as a number of servers kept busy.
 
     A prompt occupies a whole server for its prefill time; a running request occupies
@@ -32,18 +32,18 @@
         self.prompts_s: dict[str, float] = {}
         self.averages: dict[str, float] = {}
         self.running: dict[str, float] = {}
-        self.told: dict[str, float] = {}
+        self.smoothed: dict[str, float] = {}
         self.updated_at = time.monotonic()
 
     def add_prompt(self, service: str, prefill_s: float) -> None:
         """Add the prefill time of a prompt sent to a server, seconds."""
         self.prompts_s[service] = self.prompts_s.get(service, 0.0) + prefill_s
 
-    def hold(self, service: str, slots: float) -> None:
+    def set_running(self, service: str, slots: float) -> None:
         """Set the number of servers whose slots this node's requests fill."""
         self.running[service] = slots
 
-    def tell(self, now: float) -> dict[str, float]:
+    def update(self, now: float) -> dict[str, float]:
         """Update and return the smoothed workload by service."""
         passed = max(1e-3, now - self.updated_at)
         weight = 1 - math.exp(-passed / SMOOTHING_S)
@@ -53,5 +53,5 @@
             before = self.averages.get(service, 0.0)
             self.averages[service] = before + weight * (work - before)
         self.updated_at = now
-        self.told = dict(self.averages)
-        return self.told
+        self.smoothed = dict(self.averages)
+        return self.smoothed
