--- a/packages/endive_core/src/endive_core/counting.py
+++ b/packages/endive_core/src/endive_core/counting.py
@@ -65,7 +65,7 @@
     return units * nodes <= left
 
 
-def counting_node(organisation: str, nodes: Iterable[str]) -> str:
+def coordinator_for(organisation: str, nodes: Iterable[str]) -> str:
     """Return the node that adds up for `organisation`; all nodes choose the same."""
     return rendezvous_choice(organisation, list(nodes))
 
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -5,7 +5,7 @@
 from endive_core.counting import (
     ASK_S,
     SpendingCount,
-    counting_node,
+    coordinator_for,
     may_spend_unasked,
 )
 from endive_core.sharing import HEAD_START_S, SharedLimits, Spender
@@ -97,7 +97,7 @@
                 continue
             spender = self.spender(name, tellings)
             new = node.limits.note(spender, "o", units, self.now)
-            if counting_node("o", self.nodes) == node.name:
+            if coordinator_for("o", self.nodes) == node.name:
                 self.counted(node, name, new)
 
     def counted(self, counter, name, units):
@@ -116,7 +116,7 @@
         return name, spent["o"], self.nodes[name].tellings
 
     def request(self, node):
-        counter = self.nodes[counting_node("o", self.nodes)]
+        counter = self.nodes[coordinator_for("o", self.nodes)]
         left, _ = node.limits.left("o", self.now, rate=RATE, burst=BURST)
         even = may_spend_unasked(UNITS, left=left, nodes=len(self.nodes))
         if self.asking and node is not counter and left > 0 and not even:
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -18,7 +18,7 @@
     MOST_ASKED,
     UNASKED_S,
     SpendingCount,
-    counting_node,
+    coordinator_for,
     may_spend_unasked,
 )
 from endive_core.routing import OrganisationTerms
@@ -239,7 +239,7 @@
         nodes = [self.address, *asked]
         known, counting = self.counting.get(organisation, (None, ""))
         if known != nodes:
-            counting = counting_node(organisation, nodes)
+            counting = coordinator_for(organisation, nodes)
             self.counting[organisation] = nodes, counting
         return counting
 
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -4,7 +4,7 @@
 import gevent
 import msgspec
 import pytest
-from endive_core.counting import ASK_S, counting_node
+from endive_core.counting import ASK_S, coordinator_for
 from endive_core.routing import OrganisationTerms
 from endive_gateway import spending
 from endive_gateway.spending import (
@@ -43,7 +43,7 @@
 
 
 def counting_one(addresses):
-    return counting_node("o", addresses)
+    return coordinator_for("o", addresses)
 
 
 def spend(notes, units):
@@ -137,7 +137,7 @@
     """An organisation is taken away while its last requests are admitted."""
     nodes = [counter.address, *counter.others()]
     names = (f"gone-{n}" for n in range(100))
-    gone = next(n for n in names if counting_node(n, nodes) == counter.address)
+    gone = next(n for n in names if coordinator_for(n, nodes) == counter.address)
     counter.context.limits.spend(gone, 5.0)
     counter.spent(gone, 5.0)
     assert counter.count.untold[gone] == {counter.address: 5.0}
