--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -4,9 +4,9 @@
 import pytest
 from endive_core.counting import (
     ASK_S,
-    SpendingCount,
+    UnsentSpending,
     coordinator_for,
-    may_spend_unasked,
+    may_spend_without_grant,
 )
 from endive_core.sharing import HEAD_START_S, SharedLimits, Spender
 
@@ -22,7 +22,7 @@
     def __init__(self, name, now):
         self.name = name
         self.limits = SharedLimits(now, slack=SLACK)
-        self.count = SpendingCount()
+        self.count = UnsentSpending()
         self.tellings = 0
 
 
@@ -118,7 +118,7 @@
     def request(self, node):
         counter = self.nodes[coordinator_for("o", self.nodes)]
         left, _ = node.limits.left("o", self.now, rate=RATE, burst=BURST)
-        even = may_spend_unasked(UNITS, left=left, nodes=len(self.nodes))
+        even = may_spend_without_grant(UNITS, left=left, nodes=len(self.nodes))
         if self.asking and node is not counter and left > 0 and not even:
             if 2 * self.delay_s < ASK_S and not self.lost():
                 self.later(self.delay_s, self.grant, counter, node)
@@ -267,7 +267,7 @@
 
 @pytest.mark.parametrize(("left", "due"), [(60.0, False), (40.0, True)])
 def test_others_are_told_when_little_is_left(left, due):
-    count = SpendingCount()
+    count = UnsentSpending()
     count.add("o", "a", 10.0)
     count.add("o", "b", 5.0)
     assert bool(count.take_due("o", left=left, most=100.0)) is due
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -14,12 +14,12 @@
 from endive_core.counting import (
     ASK_AGAIN_S,
     ASK_S,
-    ASKING_NODES,
+    MAX_NODES_WITHOUT_GRANTS,
     MOST_ASKED,
     UNASKED_S,
-    SpendingCount,
+    UnsentSpending,
     coordinator_for,
-    may_spend_unasked,
+    may_spend_without_grant,
 )
 from endive_core.routing import OrganisationTerms
 from endive_core.sharing import Spender
@@ -109,7 +109,7 @@
         self.others = others
         self.tellings = tellings
         self.address = context.settings.place.address
-        self.count = SpendingCount()
+        self.count = UnsentSpending()
         self.counting: dict[str, tuple[list[str], str]] = {}
         self.asked = 0
         self.asked_units: Counter[str] = Counter()
@@ -146,9 +146,9 @@
 
     def _must_ask(self, units: float, left: float) -> bool:
         nodes = len(self.context.limits.peers) + 1
-        if nodes <= ASKING_NODES or left <= 0:
+        if nodes <= MAX_NODES_WITHOUT_GRANTS or left <= 0:
             return False
-        return not may_spend_unasked(units, left=left, nodes=nodes)
+        return not may_spend_without_grant(units, left=left, nodes=nodes)
 
     def _take_alone(self, terms: OrganisationTerms, units: float, now: float) -> float:
         wait_s = self.context.limits.wait_s(
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -140,7 +140,7 @@
     gone = next(n for n in names if coordinator_for(n, nodes) == counter.address)
     counter.context.limits.spend(gone, 5.0)
     counter.spent(gone, 5.0)
-    assert counter.count.untold[gone] == {counter.address: 5.0}
+    assert counter.count.unsent[gone] == {counter.address: 5.0}
     assert not counter.sent
 
 
