--- a/packages/endive_core/src/endive_core/counting.py
+++ b/packages/endive_core/src/endive_core/counting.py
@@ -35,7 +35,7 @@
 """Nodes up to which none is asked. They tell each other all spending five times a
 second, and together let through less unheard than operators tolerate."""
 
-ASK_S = 0.1
+GRANT_TIMEOUT_S = 0.1
 """Longest wait for the answer of the node that adds up, seconds. It takes two ways of
 the network, some milliseconds; a caller's target is a tenth of a second and more."""
 
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -3,7 +3,7 @@
 
 import pytest
 from endive_core.counting import (
-    ASK_S,
+    GRANT_TIMEOUT_S,
     UnsentSpending,
     coordinator_for,
     may_spend_without_grant,
@@ -120,7 +120,7 @@
         left, _ = node.limits.left("o", self.now, rate=RATE, burst=BURST)
         even = may_spend_without_grant(UNITS, left=left, nodes=len(self.nodes))
         if self.asking and node is not counter and left > 0 and not even:
-            if 2 * self.delay_s < ASK_S and not self.lost():
+            if 2 * self.delay_s < GRANT_TIMEOUT_S and not self.lost():
                 self.later(self.delay_s, self.grant, counter, node)
             return
         if node.limits.wait_s("o", UNITS, self.now, rate=RATE, burst=BURST):
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -13,7 +13,7 @@
 import msgspec
 from endive_core.counting import (
     ASK_AGAIN_S,
-    ASK_S,
+    GRANT_TIMEOUT_S,
     MAX_NODES_WITHOUT_GRANTS,
     MOST_ASKED,
     UNASKED_S,
@@ -172,7 +172,7 @@
         try:
             total = self._own(organisation, self.asked_units[organisation])
             self._send(Ask(number, total), [counting])
-            wait_s = answer.get(timeout=ASK_S)
+            wait_s = answer.get(timeout=GRANT_TIMEOUT_S)
         except gevent.Timeout:
             self._pass_over(counting)
             log_event("limit_not_answered", peer=counting, organisation=organisation)
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -4,7 +4,7 @@
 import gevent
 import msgspec
 import pytest
-from endive_core.counting import ASK_S, coordinator_for
+from endive_core.counting import GRANT_TIMEOUT_S, coordinator_for
 from endive_core.routing import OrganisationTerms
 from endive_gateway import spending
 from endive_gateway.spending import (
@@ -227,7 +227,7 @@
     gets it, as a limit may go below zero by one, and all others are told when to come
     back."""
     # Nobody is late here, however long the machine holds this process up.
-    monkeypatch.setattr(spending, "ASK_S", 1.5)
+    monkeypatch.setattr(spending, "GRANT_TIMEOUT_S", 1.5)
     nodes, takes = ask_all_at_once(fleet)
     assert_two_pass(nodes, waits_of(takes))
 
@@ -238,7 +238,7 @@
 ):
     """Each datagram takes the machine 10 ms to send, so the last node is answered after
     the first has long spent. Nobody gets more for that."""
-    monkeypatch.setattr(spending, "ASK_S", 1.5)
+    monkeypatch.setattr(spending, "GRANT_TIMEOUT_S", 1.5)
     send = Joined._send
 
     def send_slowly(notes, message, addresses):
@@ -255,7 +255,7 @@
     """The machine holds all nodes up for longer than an answer is waited for. A second
     node adds up then; still no more than two requests pass before all have heard."""
     nodes, takes = ask_all_at_once(fleet)
-    gevent.spawn(time.sleep, 1.5 * ASK_S)
+    gevent.spawn(time.sleep, 1.5 * GRANT_TIMEOUT_S)
     waits = waits_of(takes)
     assert waits.count(0.0) <= 2
     assert all(0.0 < wait < 1.0 for wait in waits if wait)
