--- a/packages/endive_core/src/endive_core/counting.py
+++ b/packages/endive_core/src/endive_core/counting.py
@@ -39,15 +39,15 @@
 """Longest wait for the answer of the node that adds up, seconds. It takes two ways of
 the network, some milliseconds; a caller's target is a tenth of a second and more."""
 
-UNASKED_S = 3.0
+COORDINATOR_BACKOFF_S = 3.0
 """Time for which a node that did not answer isn't asked again, seconds: another one
 adds up. By then it is heard again, or no longer listed."""
 
-MOST_ASKED = 2
+MAX_GRANT_ATTEMPTS = 2
 """Nodes asked for one request, one after the other. Two that add up for an organisation
 are seldom gone together, and a caller within its limit then waits for 0.1 s longer."""
 
-ASK_AGAIN_S = 0.2
+GRANT_RETRY_AFTER_S = 0.2
 """Time after which a caller may come back that was refused since nobody answered,
 seconds: a third node is asked then."""
 
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -12,11 +12,11 @@
 import gevent
 import msgspec
 from endive_core.counting import (
-    ASK_AGAIN_S,
+    COORDINATOR_BACKOFF_S,
+    GRANT_RETRY_AFTER_S,
     GRANT_TIMEOUT_S,
+    MAX_GRANT_ATTEMPTS,
     MAX_NODES_WITHOUT_GRANTS,
-    MOST_ASKED,
-    UNASKED_S,
     UnsentSpending,
     coordinator_for,
     may_spend_without_grant,
@@ -133,7 +133,7 @@
         more than this node's part of the rest is asked for.
         """
         limits = self.context.limits
-        for _ in range(MOST_ASKED):
+        for _ in range(MAX_GRANT_ATTEMPTS):
             now = time.monotonic()
             left, _ = limits.left(terms.name, now, rate=terms.rate, burst=terms.burst)
             counting = self._counting_node(terms.name)
@@ -142,7 +142,7 @@
             wait_s = self._ask(counting, terms.name, units)
             if wait_s is not None:
                 return wait_s
-        return ASK_AGAIN_S
+        return GRANT_RETRY_AFTER_S
 
     def _must_ask(self, units: float, left: float) -> bool:
         nodes = len(self.context.limits.peers) + 1
@@ -188,7 +188,7 @@
         """Let another node add up for a while."""
         now = time.monotonic()
         self.unasked_until = {n: t for n, t in self.unasked_until.items() if t > now}
-        self.unasked_until[counting] = now + UNASKED_S
+        self.unasked_until[counting] = now + COORDINATOR_BACKOFF_S
 
     def answer(self, ask: Ask) -> None:
         """Let another node spend, or say when it may."""
