--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spender:
+class SpendingOrigin:
     """A node that spends, at the moment at which it told of it.
 
     Attributes
@@ -140,7 +140,9 @@
         """Return what this node has spent since it started, by organisation."""
         return self.spent
 
-    def hear(self, spender: Spender, spent: Mapping[str, float], now: float) -> None:
+    def hear(
+        self, spender: SpendingOrigin, spent: Mapping[str, float], now: float
+    ) -> None:
         """Take over what another node has spent since it started."""
         peer = self._known(spender)
         if peer is None:
@@ -154,7 +156,7 @@
             self._take(peer, organisation, units)
 
     def note(
-        self, spender: Spender, organisation: str, units: float, now: float
+        self, spender: SpendingOrigin, organisation: str, units: float, now: float
     ) -> float:
         """Take over what another node has spent of one limit; return what is new of it.
 
@@ -174,14 +176,14 @@
             peer, organisation, max(units, peer.spent.get(organisation, 0.0))
         )
 
-    def _known(self, spender: Spender) -> PeerSpending | None:
+    def _known(self, spender: SpendingOrigin) -> PeerSpending | None:
         peer = self.peers.get(spender.node)
         if peer is None or peer.incarnation != spender.incarnation:
             return None
         return peer
 
     def _learn(
-        self, spender: Spender, spent: dict[str, float], now: float
+        self, spender: SpendingOrigin, spent: dict[str, float], now: float
     ) -> PeerSpending:
         peer = PeerSpending(
             spent,
@@ -192,7 +194,7 @@
         self.peers[spender.node] = peer
         return peer
 
-    def _is_young(self, spender: Spender, now: float) -> bool:
+    def _is_young(self, spender: SpendingOrigin, now: float) -> bool:
         return now - spender.age_s >= self.begun_at - YOUNG_S
 
     def _take(self, peer: PeerSpending, organisation: str, units: float) -> float:
@@ -269,7 +271,7 @@
 
     def grant(
         self,
-        spender: Spender,
+        spender: SpendingOrigin,
         organisation: str,
         total: float,
         now: float,
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -8,7 +8,7 @@
     coordinator_for,
     may_spend_without_grant,
 )
-from endive_core.sharing import HEAD_START_S, SharedLimits, Spender
+from endive_core.sharing import HEAD_START_S, SharedLimits, SpendingOrigin
 
 RATE, BURST, SLACK = 400.0, 400.0, 800.0
 WINDOW_S = 4.0
@@ -84,7 +84,7 @@
         node.limits.hear(self.spender(sender, tellings), spent, self.now)
 
     def spender(self, name, tellings):
-        return Spender(name, 1, tellings, age_s=self.now)
+        return SpendingOrigin(name, 1, tellings, age_s=self.now)
 
     def note(self, receiver, entries):
         self.notes += 1
@@ -225,7 +225,7 @@
 
 
 def spender(*, tellings, age_s=1.0):
-    return Spender("p", 1, tellings, age_s)
+    return SpendingOrigin("p", 1, tellings, age_s)
 
 
 def noted(limits, units, **options):
--- a/packages/endive_core/tests/test_sharing.py
+++ b/packages/endive_core/tests/test_sharing.py
@@ -3,7 +3,7 @@
     HEAD_START_S,
     SILENT_S,
     SharedLimits,
-    Spender,
+    SpendingOrigin,
 )
 
 RATE, BURST = 1000.0, 1000.0
@@ -28,7 +28,7 @@
             for sender in side:
                 for receiver in side - {sender}:
                     self.nodes[receiver].hear(
-                        Spender(str(sender), 1, self.tellings, age_s=now),
+                        SpendingOrigin(str(sender), 1, self.tellings, age_s=now),
                         dict(self.nodes[sender].tell()),
                         now,
                     )
@@ -90,7 +90,7 @@
 
 def test_a_node_that_said_it_stopped_gives_its_part_back_at_once():
     made = SharedLimits(0.0)
-    made.hear(Spender("other", 1, 1, 1.0), {}, 1.0)
+    made.hear(SpendingOrigin("other", 1, 1, 1.0), {}, 1.0)
     made.leave("other")
     assert made.part(5.0) == 1.0
 
@@ -99,7 +99,7 @@
     """A node starts anew and hears what the others have spent in an hour. Taken off at
     once, it would refuse the organisation's callers for an hour."""
     made = SharedLimits(0.0)
-    made.hear(Spender("old", 1, 18_000, 3600.0), {"o": 1e9}, 1.0)
+    made.hear(SpendingOrigin("old", 1, 18_000, 3600.0), {"o": 1e9}, 1.0)
     assert made.wait_s("o", 1.0, 1.0, rate=RATE, burst=BURST) == 0.0
 
 
@@ -108,15 +108,15 @@
     seconds later, when they have told a part of their rounds thirty times. Were what
     these had spent not counted, it would be let through twice."""
     made = SharedLimits(0.0)
-    made.hear(Spender("p", 1, 30, 2.5), {"o": 600.0}, 2.2)
+    made.hear(SpendingOrigin("p", 1, 30, 2.5), {"o": 600.0}, 2.2)
     assert made.allowances["o"].units == -600.0
 
 
 def test_a_restarted_peer_counts_from_zero():
     made = SharedLimits(0.0)
-    made.hear(Spender("p", 1, 100, 20.0), {"o": 5000.0}, 1.0)
-    made.hear(Spender("p", 2, 1, 0.1), {"o": 10.0}, 1.5)
-    made.hear(Spender("p", 2, 2, 0.3), {"o": 10.0}, 1.7)
+    made.hear(SpendingOrigin("p", 1, 100, 20.0), {"o": 5000.0}, 1.0)
+    made.hear(SpendingOrigin("p", 2, 1, 0.1), {"o": 10.0}, 1.5)
+    made.hear(SpendingOrigin("p", 2, 2, 0.3), {"o": 10.0}, 1.7)
     assert made.allowances["o"].units == -10.0
 
 
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -12,7 +12,7 @@
 
 import gevent
 from endive_core.crashes import Crash
-from endive_core.sharing import SILENT_S, Spender
+from endive_core.sharing import SILENT_S, SpendingOrigin
 from endive_node.logs import log_event
 from gevent.event import Event
 
@@ -310,7 +310,7 @@
         context.reported = max(context.reported, telling.reported)
         self.see_duty_end(telling.duty_end)
         context.true_time.hear(address, telling.wall_ms / 1000)
-        spender = Spender(address, *age, telling.age_s)
+        spender = SpendingOrigin(address, *age, telling.age_s)
         context.limits.hear(spender, telling.spent, now)
         context.meter.hear(address, telling.incarnation, telling.windows)
         for fingerprint, server, age_s in telling.crashes:
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -22,7 +22,7 @@
     may_spend_without_grant,
 )
 from endive_core.routing import OrganisationTerms
-from endive_core.sharing import Spender
+from endive_core.sharing import SpendingOrigin
 from endive_node.logs import log_event
 from gevent.event import AsyncResult
 
@@ -54,9 +54,9 @@
     units: float
 
     @property
-    def spender(self) -> Spender:
+    def spender(self) -> SpendingOrigin:
         """The node as the limits know it."""
-        return Spender(self.address, self.incarnation, self.tellings, self.age_s)
+        return SpendingOrigin(self.address, self.incarnation, self.tellings, self.age_s)
 
 
 class Notes(msgspec.Struct, array_like=True, tag="notes"):
