--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -155,7 +155,7 @@
                 units = max(units, noted)
             self._take(peer, organisation, units)
 
-    def note(
+    def apply_update(
         self, spender: SpendingOrigin, organisation: str, units: float, now: float
     ) -> float:
         """Take over what another node has spent of one limit; return what is new of it.
@@ -294,7 +294,7 @@
         left, _ = self.left(organisation, now, rate=rate, burst=burst)
         if left <= 0:
             return self._until_some(left, rate, now)
-        return 0.0 if self.note(spender, organisation, total, now) > 0 else None
+        return 0.0 if self.apply_update(spender, organisation, total, now) > 0 else None
 
     def _until_some(self, left: float, rate: float, now: float) -> float:
         return 0.001 - left / (rate * self.part(now))
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -96,7 +96,7 @@
             if name == node.name:
                 continue
             spender = self.spender(name, tellings)
-            new = node.limits.note(spender, "o", units, self.now)
+            new = node.limits.apply_update(spender, "o", units, self.now)
             if coordinator_for("o", self.nodes) == node.name:
                 self.counted(node, name, new)
 
@@ -229,7 +229,7 @@
 
 
 def noted(limits, units, **options):
-    return limits.note(spender(**options), "o", units, 1.0)
+    return limits.apply_update(spender(**options), "o", units, 1.0)
 
 
 def test_what_was_noted_is_not_counted_again_with_the_telling():
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -227,7 +227,9 @@
         for entry in entries:
             if entry.address == self.address:
                 continue
-            new = limits.note(entry.spender, entry.organisation, entry.units, now)
+            new = limits.apply_update(
+                entry.spender, entry.organisation, entry.units, now
+            )
             counting = self._counting_node(entry.organisation)
             if new > 0 and counting == self.address:
                 self._add(entry.organisation, entry.address, new)
--- a/tests/soak/launch.py
+++ b/tests/soak/launch.py
@@ -29,7 +29,7 @@
     from endive_core.sharing import SharedLimits
 
     SharedLimits.hear = lambda self, *args, **options: None
-    SharedLimits.note = lambda self, *args, **options: 0.0
+    SharedLimits.apply_update = lambda self, *args, **options: 0.0
     SharedLimits.part = lambda self, now: 1.0
 
 
