--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -84,10 +84,10 @@
     """
 
     spent: dict[str, float] = field(default_factory=dict)
-    noted: dict[str, tuple[int, float]] = field(default_factory=dict)
+    last_updates: dict[str, tuple[int, float]] = field(default_factory=dict)
     incarnation: int = 0
     heard_at: float = 0.0
-    born_at: float = 0.0
+    started_at: float = 0.0
 
 
 @dataclass
@@ -150,7 +150,7 @@
             peer = self._learn(spender, before, now)
         peer.heard_at = now
         for organisation, units in spent.items():
-            told_at, noted = peer.noted.get(organisation, (0, 0.0))
+            told_at, noted = peer.last_updates.get(organisation, (0, 0.0))
             if spender.tellings <= told_at:
                 units = max(units, noted)
             self._take(peer, organisation, units)
@@ -169,9 +169,9 @@
                 return 0.0
             peer = self._learn(spender, {}, now)
         newest = (spender.tellings, units)
-        if newest <= peer.noted.get(organisation, (0, 0.0)):
+        if newest <= peer.last_updates.get(organisation, (0, 0.0)):
             return 0.0
-        peer.noted[organisation] = newest
+        peer.last_updates[organisation] = newest
         return self._take(
             peer, organisation, max(units, peer.spent.get(organisation, 0.0))
         )
@@ -189,7 +189,7 @@
             spent,
             incarnation=spender.incarnation,
             heard_at=now,
-            born_at=now - spender.age_s,
+            started_at=now - spender.age_s,
         )
         self.peers[spender.node] = peer
         return peer
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -266,10 +266,10 @@
         if address == self.address:
             return self._own(organisation)
         peer = self.context.limits.peers.get(address)
-        if peer is None or organisation not in peer.noted:
+        if peer is None or organisation not in peer.last_updates:
             return None
-        tellings, units = peer.noted[organisation]
-        age_s = time.monotonic() - peer.born_at
+        tellings, units = peer.last_updates[organisation]
+        age_s = time.monotonic() - peer.started_at
         return Spending(address, peer.incarnation, tellings, age_s, organisation, units)
 
     def _own(self, organisation: str, asked: float = 0.0) -> Spending:
