--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -15,7 +15,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-SILENT_S = 0.9
+SILENCE_TIMEOUT_S = 0.9
 """A node unheard for longer may be cut off and go on spending. Its even part of each
 limit is left to it, so that the sides of a cut together stay within the limit. Four
 tellings may be lost in a row before that."""
@@ -129,7 +129,7 @@
 
     def __init__(self, now: float = 0.0, *, slack: float = 0.0) -> None:
         self.slack = slack
-        self.silent_s = SILENT_S
+        self.silent_s = SILENCE_TIMEOUT_S
         self.begun_at = now - HEAD_START_S
         self.spent: dict[str, float] = {}
         self.peers: dict[str, PeerSpending] = {}
@@ -205,7 +205,7 @@
             self._allowance(organisation).units -= new
         return new
 
-    def expect(self, node: str, now: float) -> None:
+    def add_peer(self, node: str, now: float) -> None:
         """Count a node that is known to be there, though it was not heard yet.
 
         It gets the usual time to be heard: after a power loss all nodes start within
@@ -213,11 +213,11 @@
         """
         self.peers.setdefault(node, PeerSpending(heard_at=now))
 
-    def leave(self, node: str) -> None:
+    def remove_peer(self, node: str) -> None:
         """Divide the part of a node that said it has stopped."""
         self.peers.pop(node, None)
 
-    def forget_silent(self, now: float) -> None:
+    def remove_silent_peers(self, now: float) -> None:
         """Divide the parts of nodes that are gone for good."""
         for node, peer in list(self.peers.items()):
             if now - peer.heard_at > FORGOTTEN_S:
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -53,7 +53,7 @@
         self.nodes = {f"n{i}": Node(f"n{i}", 0.0) for i in range(size)}
         for node in self.nodes.values():
             for other in self.nodes.keys() - {node.name}:
-                node.limits.expect(other, 0.0)
+                node.limits.add_peer(other, 0.0)
         self.counting = counting
         self.lost = lost
         self.asking = asking
--- a/packages/endive_core/tests/test_sharing.py
+++ b/packages/endive_core/tests/test_sharing.py
@@ -1,7 +1,7 @@
 from endive_core.sharing import (
     FORGOTTEN_S,
     HEAD_START_S,
-    SILENT_S,
+    SILENCE_TIMEOUT_S,
     SharedLimits,
     SpendingOrigin,
 )
@@ -20,7 +20,7 @@
         for index, node in enumerate(self.nodes):
             for other in range(count):
                 if other != index:
-                    node.expect(str(other), 0.0)
+                    node.add_peer(str(other), 0.0)
 
     def tell(self, now):
         self.tellings += 1
@@ -75,23 +75,25 @@
     fleet.tell(0.0)
     fleet.play(0.0, 4.0, 8 * RATE, 20.0)
     fleet.sides = [set(range(6)), {6, 7}]
-    fleet.play(4.0, 4.0 + SILENT_S, 8 * RATE, 20.0)
-    admitted = fleet.play(4.0 + SILENT_S, 12.0 + SILENT_S, 8 * RATE, 20.0)
+    fleet.play(4.0, 4.0 + SILENCE_TIMEOUT_S, 8 * RATE, 20.0)
+    admitted = fleet.play(
+        4.0 + SILENCE_TIMEOUT_S, 12.0 + SILENCE_TIMEOUT_S, 8 * RATE, 20.0
+    )
     assert admitted <= (8 * RATE + BURST) * 1.1
 
 
 def test_a_node_that_is_gone_for_good_gives_its_part_back():
     made = SharedLimits(0.0)
-    made.expect("other", 0.0)
-    assert made.part(0.1 + SILENT_S) == 0.5
-    made.forget_silent(FORGOTTEN_S + SILENT_S + 1.0)
+    made.add_peer("other", 0.0)
+    assert made.part(0.1 + SILENCE_TIMEOUT_S) == 0.5
+    made.remove_silent_peers(FORGOTTEN_S + SILENCE_TIMEOUT_S + 1.0)
     assert made.part(FORGOTTEN_S + 2.0) == 1.0
 
 
 def test_a_node_that_said_it_stopped_gives_its_part_back_at_once():
     made = SharedLimits(0.0)
     made.hear(SpendingOrigin("other", 1, 1, 1.0), {}, 1.0)
-    made.leave("other")
+    made.remove_peer("other")
     assert made.part(5.0) == 1.0
 
 
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -12,7 +12,7 @@
 
 import gevent
 from endive_core.crashes import Crash
-from endive_core.sharing import SILENT_S, SpendingOrigin
+from endive_core.sharing import SILENCE_TIMEOUT_S, SpendingOrigin
 from endive_node.logs import log_event
 from gevent.event import Event
 
@@ -183,7 +183,7 @@
         for address in addresses:
             known = address in self.known
             if self._add(address) is not None and not known:
-                self.context.limits.expect(address, time.monotonic())
+                self.context.limits.add_peer(address, time.monotonic())
         self.context.set_nodes(len(self.known) + 1)
         self.tell()
 
@@ -217,7 +217,7 @@
         and leave half of every limit to them.
         """
         self.heard_s = max(HEARD_S, MISSED_TELLINGS * gap_s)
-        self.context.limits.silent_s = max(SILENT_S, MISSED_TELLINGS * gap_s)
+        self.context.limits.silent_s = max(SILENCE_TIMEOUT_S, MISSED_TELLINGS * gap_s)
 
     def _tell_in_steps(self, step_s: float) -> None:
         """Tell all others, a few each `step_s` seconds, or until there is urgent news.
@@ -287,7 +287,7 @@
                 "peers", live=live, before=self.logged_live, known=len(self.known)
             )
             self.logged_live = live
-        self.context.limits.forget_silent(now)
+        self.context.limits.remove_silent_peers(now)
         self.context.set_nodes(len(self.known) + 1)
 
     # Hearing
@@ -327,7 +327,7 @@
             self.configuration.hear_proof(telling.version, telling.proof_age_s)
         if telling.gone:
             log_event("peer_gone", peer=telling.node)
-            context.limits.leave(address)
+            context.limits.remove_peer(address)
             self.known.pop(address, None)
 
     def see_duty_end(self, end: int) -> None:
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -115,7 +115,7 @@
     counter.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
     spender = counter.others()[0]
     counter.hear([entry(spender, 45.0)])
-    counter.context.limits.leave(spender)
+    counter.context.limits.remove_peer(spender)
     spend(counter, 40.0)
     ((entries, _),) = counter.sent
     assert [e.address for e in entries] == [counter.address]
@@ -167,7 +167,7 @@
         self.fleet = fleet
         self.dead = dead
         for other in others:
-            context.limits.expect(other, context.started_at)
+            context.limits.add_peer(other, context.started_at)
 
     def _send(self, message, addresses):
         copy = DECODER.decode(msgspec.msgpack.encode(message))
