--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -129,7 +129,7 @@
 
     def __init__(self, now: float = 0.0, *, slack: float = 0.0) -> None:
         self.slack = slack
-        self.silent_s = SILENCE_TIMEOUT_S
+        self.silence_timeout_s = SILENCE_TIMEOUT_S
         self.begun_at = now - HEAD_START_S
         self.spent: dict[str, float] = {}
         self.peers: dict[str, PeerSpending] = {}
@@ -226,7 +226,7 @@
     def part(self, now: float) -> float:
         """Return the part of each limit for the nodes that hear each other."""
         silent = sum(
-            now - peer.heard_at > self.silent_s for peer in self.peers.values()
+            now - peer.heard_at > self.silence_timeout_s for peer in self.peers.values()
         )
         nodes = len(self.peers) + 1
         return (nodes - silent) / nodes
@@ -309,7 +309,7 @@
         allowance.refill(now, rate=rate * part, burst=most)
         return allowance.units, most
 
-    def give_back(self, organisation: str, units: float) -> None:
+    def refund(self, organisation: str, units: float) -> None:
         """Return what a request took that was not run after all."""
         self.spend(organisation, -units)
 
--- a/packages/endive_core/tests/test_sharing.py
+++ b/packages/endive_core/tests/test_sharing.py
@@ -135,7 +135,7 @@
     made = SharedLimits(0.0)
     made.wait_s("o", 500.0, 1.0, rate=RATE, burst=BURST)
     before = made.allowances["o"].units
-    made.give_back("o", 500.0)
+    made.refund("o", 500.0)
     assert made.allowances["o"].units == before + 500.0
     assert made.tell()["o"] == 0.0
 
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -356,7 +356,7 @@
             return
         status = make_true(error, self.may_have_run)
         if self.units and not self.may_have_run:
-            self.context.limits.give_back(self.terms.name, self.units)
+            self.context.limits.refund(self.terms.name, self.units)
         self.exchange.refuse(error, status, self.context.wire.own_answer(self.facts))
 
     def _release(self) -> None:
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -217,7 +217,9 @@
         and leave half of every limit to them.
         """
         self.heard_s = max(HEARD_S, MISSED_TELLINGS * gap_s)
-        self.context.limits.silent_s = max(SILENCE_TIMEOUT_S, MISSED_TELLINGS * gap_s)
+        self.context.limits.silence_timeout_s = max(
+            SILENCE_TIMEOUT_S, MISSED_TELLINGS * gap_s
+        )
 
     def _tell_in_steps(self, step_s: float) -> None:
         """Tell all others, a few each `step_s` seconds, or until there is urgent news.
