--- a/packages/endive_core/src/endive_core/metering.py
+++ b/packages/endive_core/src/endive_core/metering.py
@@ -12,7 +12,7 @@
 late makes up for some."""
 
 
-class Meter:
+class UsageMeter:
     """Counts of this node and, as told, of the others.
 
     Parameters
--- a/packages/endive_core/tests/test_metering.py
+++ b/packages/endive_core/tests/test_metering.py
@@ -1,8 +1,8 @@
-from endive_core.metering import WINDOWS_KEPT, Meter
+from endive_core.metering import WINDOWS_KEPT, UsageMeter
 
 
 def test_all_nodes_counts_add_up_also_those_of_a_node_that_died():
-    made = Meter(5.0)
+    made = UsageMeter(5.0)
     made.begin("o", 51.0)
     made.begin("o", 54.9)
     made.begin("p", 55.0)
@@ -13,14 +13,14 @@
 
 
 def test_a_later_telling_replaces_an_earlier_one():
-    made = Meter(5.0)
+    made = UsageMeter(5.0)
     made.hear("a", 1, {10: {"o": 3}})
     made.hear("a", 1, {10: {"o": 5}})
     assert made.total(10) == {"o": 5}
 
 
 def test_old_windows_are_forgotten():
-    made = Meter(5.0)
+    made = UsageMeter(5.0)
     for window in range(100):
         made.begin("o", window * 5.0)
         made.hear("a", 1, {window: {"o": 1}})
--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from endive_core.clocks import TrueTime
-from endive_core.metering import Meter
+from endive_core.metering import UsageMeter
 from endive_core.retrying import FleetRetryBudget
 from endive_core.routing import CallerLimits, OrganisationTerms, RoutingTable
 from endive_core.sharing import SharedLimits
@@ -65,7 +65,7 @@
         self.placer = Placer(self.registry, is_listening=is_listening)
         self.pool = ConnectionPool(wire)
         self.limits = SharedLimits(time.monotonic(), slack=settings.bounds.quota_slack)
-        self.meter = Meter(settings.bounds.usage_window_s)
+        self.meter = UsageMeter(settings.bounds.usage_window_s)
         self.true_time = TrueTime(time.monotonic, time.time)
         self.budgets: dict[str, FleetRetryBudget] = {}
         self.metrics = GatewayMetrics()
