--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -110,16 +110,16 @@
     def refusal(self, call: Call, now: float) -> Refusal | None:
         """Return why `call` is refused, or ``None``."""
         if self.crashes.is_poison(call.fingerprint, now):
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
             )
         if not self.servers.taking:
-            return Refusal.because(ErrorKind.NO_SERVER, "no server takes work")
+            return Refusal.from_kind(ErrorKind.NO_SERVER, "no server takes work")
         quota = self.quotas.get(call.organisation)
         if quota is not None:
             wait = quota.wait_s(call.tokens, now, self.servers.nodes)
             if wait > 0:
-                return Refusal.because(
+                return Refusal.from_kind(
                     ErrorKind.LIMIT_EXCEEDED,
                     "the organisation's limit is used up",
                     wait,
@@ -135,7 +135,7 @@
             max_bulk_wait_s=self.policy.max_bulk_wait_s,
         )
         if call.deadline is not None and now + prediction.first_token_s > call.deadline:
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.DEADLINE_EXCEEDED,
                 "the deadline can't be met",
                 max(self.policy.min_retry_after_s, prediction.wait_s),
@@ -154,7 +154,7 @@
             excess_s=max(0.0, prediction.long_wait_s - allowed),
             cost_s=cost_s,
         )
-        return Refusal.because(
+        return Refusal.from_kind(
             ErrorKind.OVERLOADED, "the latency target can't be met now", retry_after
         )
 
--- a/packages/endive_core/src/endive_core/calls.py
+++ b/packages/endive_core/src/endive_core/calls.py
@@ -156,7 +156,7 @@
     message: str
 
     @classmethod
-    def because(
+    def from_kind(
         cls, kind: ErrorKind, message: str, retry_after_s: float | None = None
     ) -> "Refusal":
         """Return a refusal; the table's time to come back if none is known better."""
--- a/packages/endive_core/src/endive_core/expiry.py
+++ b/packages/endive_core/src/endive_core/expiry.py
@@ -49,10 +49,10 @@
         message: str,
         retry_after_s: float | None = None,
     ) -> None:
-        """Give up one queued call; see :meth:`Refusal.because`."""
+        """Give up one queued call; see :meth:`Refusal.from_kind`."""
         self.queue.cancel(ticket)
         self.admission.end(ticket)
-        ticket.refusal = Refusal.because(kind, message, retry_after_s)
+        ticket.refusal = Refusal.from_kind(kind, message, retry_after_s)
         self.refusals[kind] += 1
         self.expired.append(ticket)
 
--- a/packages/endive_core/src/endive_core/failures.py
+++ b/packages/endive_core/src/endive_core/failures.py
@@ -118,23 +118,23 @@
     ) -> Refusal | None:
         call = ticket.call
         if self.crashes.is_poison(call.fingerprint, now):
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
             )
         if call.non_idempotent and started:
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.OUTCOME_UNKNOWN,
                 "the server may have run the request; it is not sent again",
             )
         if ticket.attempt >= max_attempts or self.servers.all_tried(ticket.avoid):
             kind = ErrorKind.BACKEND_FAILED if started else ErrorKind.NO_SERVER
-            return Refusal.because(kind, "all attempts failed")
+            return Refusal.from_kind(kind, "all attempts failed")
         # The budget is for work that is repeated. What was never started cost next to
         # nothing, and a zone's dead servers would use it up for streams they broke.
         if started and not self.budget(call.deployment).spend(
             in_flight=self.servers.own_total
         ):
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.RETRY_BUDGET_SPENT, "too many calls are being sent again"
             )
         return None
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -154,7 +154,7 @@
         """
         if self.crashes.is_poison(call.fingerprint, now):
             self.refusals[ErrorKind.POISON_REQUEST] += 1
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
             )
         return self._enter(call, now)
