--- a/packages/endive_core/src/endive_core/placement.py
+++ b/packages/endive_core/src/endive_core/placement.py
@@ -193,7 +193,9 @@
         free = max(0, view.max_concurrent - server.load)
         return waiting + self.policy.crowding_s / (1 + free)
 
-    def soonest(self, ticket: Ticket, now: float, tier: Tier) -> ServerLoad | None:
+    def earliest_server(
+        self, ticket: Ticket, now: float, tier: Tier
+    ) -> ServerLoad | None:
         """Return the server with room that would begin a call first, if any has room.
 
         A few candidates are enough to find a short wait, not to say that there is none:
@@ -203,7 +205,7 @@
         allowed = self._all_allowed(ticket, tier)
         return min(allowed, key=lambda s: self.wait_s(s, now), default=None)
 
-    def outlook(self, ticket: Ticket, server: ServerLoad, now: float) -> Outlook:
+    def predict_start(self, ticket: Ticket, server: ServerLoad, now: float) -> Outlook:
         """Return what a call may expect at `server`.
 
         The load this is for: reclaims leave fewer servers than the load needs. Engines
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -187,15 +187,15 @@
         self, ticket: Ticket, server: ServerLoad, now: float
     ) -> ServerLoad | None:
         """Return `server`, a sooner one if it would be late, or give the call up."""
-        outlook = self.placement.outlook(ticket, server, now)
-        if outlook.late_s:
+        prediction = self.placement.predict_start(ticket, server, now)
+        if prediction.late_s:
             tier = self.usage.tier(ticket.call)
-            server = self.placement.soonest(ticket, now, tier) or server
-            outlook = self.placement.outlook(ticket, server, now)
-        if outlook.late_s:
-            self.expiry.expire_late(ticket, outlook.late_s)
+            server = self.placement.earliest_server(ticket, now, tier) or server
+            prediction = self.placement.predict_start(ticket, server, now)
+        if prediction.late_s:
+            self.expiry.expire_late(ticket, prediction.late_s)
             return None
-        ticket.yields = outlook.yields
+        ticket.yields = prediction.yields
         return server
 
     def _server_for(self, ticket: Ticket, now: float) -> ServerLoad | None:
