--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -161,13 +161,13 @@
     def predict(self, call: Call) -> Prediction:
         """Return when the first token of `call` is expected."""
         slots = max(
-            1.0, self.servers.own_total + len(self.servers.open[Tier.WITHIN_SHARE])
+            1.0, self.servers.own_total + len(self.servers.available[Tier.WITHIN_SHARE])
         )
         tokens_per_s = slots * self.rate.tokens_per_slot_s
         ahead = self.queue.tokens_ahead(call.rank, call.organisation)
         wait, allowance = ahead / tokens_per_s, 0.0
         tier = self.usage.tier(call)
-        if ahead or not self.servers.open[tier]:
+        if ahead or not self.servers.available[tier]:
             wait += self.rate.held_s / slots
             allowance = self.errors[tier].allowance_s(self.policy.wait_deviations)
         prefill = call.prompt_tokens / self.prefill_tokens_per_s()
--- a/packages/endive_core/src/endive_core/placement.py
+++ b/packages/endive_core/src/endive_core/placement.py
@@ -108,7 +108,7 @@
         self, ticket: Ticket, names: list[str], tier: Tier
     ) -> list[ServerLoad]:
         found = self._within_bound(names, tier)
-        found += self.servers.open[tier].sample(
+        found += self.servers.available[tier].sample(
             self.policy.random_candidates, self.random.randrange
         )
         allowed = [s for s in found if self._allowed(ticket, s, tier)]
@@ -117,7 +117,7 @@
         return self._all_allowed(ticket, tier)
 
     def _all_allowed(self, ticket: Ticket, tier: Tier) -> list[ServerLoad]:
-        open_servers = self.servers.open[tier].items
+        open_servers = self.servers.available[tier].items
         return [s for s in open_servers if self._allowed(ticket, s, tier)]
 
     def _allowed(self, ticket: Ticket, server: ServerLoad, tier: Tier) -> bool:
@@ -134,7 +134,7 @@
 
         The bound keeps one popular prefix from filling its server while others idle.
         """
-        open_servers = self.servers.open[tier].positions
+        open_servers = self.servers.available[tier].positions
         bound = self.policy.load_bound * self.servers.mean_utilisation
         found = []
         for name in names:
@@ -229,7 +229,7 @@
         if deadline is None:
             return Outlook(0.0, yields)
         if yields:
-            begins_s += self.servers.yielding_at(server) / rate
+            begins_s += self.servers.yielding_tokens_at(server) / rate
         return Outlook(max(0.0, now + begins_s - deadline), yields)
 
     def _yields(
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -230,14 +230,14 @@
         ticket.attempt += 1
         ticket.dispatched_at = now
         ticket.first_token_at = None
-        self.servers.note_prompt(
+        self.servers.adjust_prefill_backlog(
             server, 1, ticket.uncached_tokens, yields=ticket.yields
         )
         self.placement.pace(server, ticket.uncached_tokens, now)
         server.starting_suspects += ticket.suspect
         self.usage.take(ticket.call.organisation)
         self.running.setdefault(server.id, set()).add(ticket)
-        self.servers.note(server, 1, now)
+        self.servers.adjust_in_flight(server, 1, now)
         if ticket.call.blocks:
             self.placement.prefixes.add(server.id, ticket.call.blocks)
 
@@ -261,7 +261,7 @@
         )
 
     def _no_longer_starting(self, ticket: Ticket, server: ServerLoad) -> None:
-        self.servers.note_prompt(
+        self.servers.adjust_prefill_backlog(
             server, -1, ticket.uncached_tokens, yields=ticket.yields
         )
         server.starting_suspects -= ticket.suspect
@@ -385,5 +385,5 @@
         if server is not None:
             if ticket.stage is Stage.DISPATCHED:
                 self._no_longer_starting(ticket, server)
-            self.servers.note(server, -1, now)
+            self.servers.adjust_in_flight(server, -1, now)
         ticket.server = ""
--- a/packages/endive_core/src/endive_core/servers.py
+++ b/packages/endive_core/src/endive_core/servers.py
@@ -107,7 +107,7 @@
         """Return the free slots beyond those that the nodes divide."""
         return self.free - self.change - self.divided - self.reserved[tier]
 
-    def note(self, sign: int, now: float) -> None:
+    def adjust_in_flight(self, sign: int, now: float) -> None:
         """Count an own send (+1) or end (-1) at `now`."""
         self.changes.append((now, sign))
         self.change += sign
@@ -136,7 +136,7 @@
         self.divided_share = divided_share
         self.giving_way = giving_way
         self.servers: dict[str, ServerLoad] = {}
-        self.open = {tier: MemberList() for tier in Tier}
+        self.available = {tier: MemberList() for tier in Tier}
         self.taking = MemberList()
         self.nodes = 1
         self.own_total = 0
@@ -175,7 +175,7 @@
         self.own_total -= view.in_flight
         self.change_total -= server.change
         self.yielding_total -= server.yielding_tokens
-        for members in (*self.open.values(), self.taking):
+        for members in (*self.available.values(), self.taking):
             members.discard(server)
 
     @property
@@ -241,14 +241,14 @@
         view.reported_waiting = waiting + max(0, server.free - server.change)
         self.refresh(server)
 
-    def note(self, server: ServerLoad, sign: int, now: float) -> None:
+    def adjust_in_flight(self, server: ServerLoad, sign: int, now: float) -> None:
         """Count an own send or end at `server`."""
-        server.note(sign, now)
+        server.adjust_in_flight(sign, now)
         self.own_total += sign
         self.change_total += sign
         self.refresh(server)
 
-    def note_prompt(
+    def adjust_prefill_backlog(
         self, server: ServerLoad, sign: int, tokens: float, *, yields: bool
     ) -> None:
         """Count the tokens of a prompt sent (+1), or of one begun or ended (-1)."""
@@ -258,7 +258,7 @@
         else:
             server.starting_tokens += sign * tokens
 
-    def yielding_at(self, server: ServerLoad) -> float:
+    def yielding_tokens_at(self, server: ServerLoad) -> float:
         """Return the tokens at `server` that give way, of all nodes.
 
         Others' aren't told. All of theirs are taken to be as many as their part of all
@@ -333,7 +333,7 @@
             self.taking.discard(server)
         trying = server.failures > 0 and server.view.in_flight > 0
         usable = taking and not server.slow and not trying
-        for tier, members in self.open.items():
+        for tier, members in self.available.items():
             room = server.granted(tier) > 0 or server.plenty(tier) > 0
             if usable and room:
                 members.add(server)
--- a/packages/endive_core/tests/test_outliers.py
+++ b/packages/endive_core/tests/test_outliers.py
@@ -29,14 +29,14 @@
     made = detector([0.1, 0.1, 0.4, 0.1, 0.1])
     slow = made.servers.servers["s2"]
     assert slow.slow
-    assert "s2" not in made.servers.open[Tier.WITHIN_SHARE].positions
+    assert "s2" not in made.servers.available[Tier.WITHIN_SHARE].positions
     assert made.probe(2.0) is None
     assert made.probe(7.0) is slow
     assert made.probe(7.1) is None
     observe(made, [0.1] * 5)
     made.compare(8.0)
     assert not slow.slow
-    assert "s2" in made.servers.open[Tier.WITHIN_SHARE].positions
+    assert "s2" in made.servers.available[Tier.WITHIN_SHARE].positions
 
 
 def test_load_that_slows_all_servers_marks_none():
@@ -133,7 +133,7 @@
     made.suspicions.hear("b", {"s2": 9}, 1.5)
     made.suspicions.hear("c", {"s2": 9}, 1.5)
     made.compare(2.0)
-    assert "s2" not in made.servers.open[Tier.WITHIN_SHARE].positions
+    assert "s2" not in made.servers.available[Tier.WITHIN_SHARE].positions
     assert made.probe(4.5) is None
     made.compare(2.0 + HOLD_S + 0.1)
-    assert "s2" in made.servers.open[Tier.WITHIN_SHARE].positions
+    assert "s2" in made.servers.available[Tier.WITHIN_SHARE].positions
