--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -113,7 +113,7 @@
             return Refusal.from_kind(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
             )
-        if not self.servers.taking:
+        if not self.servers.accepting:
             return Refusal.from_kind(ErrorKind.NO_SERVER, "no server takes work")
         quota = self.quotas.get(call.organisation)
         if quota is not None:
--- a/packages/endive_core/src/endive_core/expiry.py
+++ b/packages/endive_core/src/endive_core/expiry.py
@@ -88,7 +88,7 @@
         Servers may be replaced within seconds of a reclaim; after that a caller is
         better told that its request was not run than left waiting.
         """
-        if self.servers.taking:
+        if self.servers.accepting:
             self.no_server_since = None
             return
         if self.no_server_since is None:
--- a/packages/endive_core/src/endive_core/servers.py
+++ b/packages/endive_core/src/endive_core/servers.py
@@ -137,7 +137,7 @@
         self.giving_way = giving_way
         self.servers: dict[str, ServerLoad] = {}
         self.available = {tier: MemberList() for tier in Tier}
-        self.taking = MemberList()
+        self.accepting = MemberList()
         self.nodes = 1
         self.own_total = 0
         self.change_total = 0
@@ -175,7 +175,7 @@
         self.own_total -= view.in_flight
         self.change_total -= server.change
         self.yielding_total -= server.yielding_tokens
-        for members in (*self.available.values(), self.taking):
+        for members in (*self.available.values(), self.accepting):
             members.discard(server)
 
     @property
@@ -266,7 +266,7 @@
         of theirs, with many nodes and servers.
         """
         others = self.yielding_total * (1 / self.share - 1)
-        return server.yielding_tokens + others / max(1, len(self.taking))
+        return server.yielding_tokens + others / max(1, len(self.accepting))
 
     def has_room(self, server: ServerLoad, tier: Tier) -> bool:
         """Return whether this node may send a call of `tier` to `server` now."""
@@ -300,7 +300,7 @@
         of requests after each pause.
         """
         server.failures += 1
-        if server.paused or (len(self.taking) == 1 and not server.view.leaving):
+        if server.paused or (len(self.accepting) == 1 and not server.view.leaving):
             return False
         server.paused = True
         self.refresh(server)
@@ -314,9 +314,9 @@
 
     def all_tried(self, tried: set[str]) -> bool:
         """Return whether every server that takes work is among `tried`."""
-        if len(tried) < len(self.taking):
+        if len(tried) < len(self.accepting):
             return False
-        return all(server.id in tried for server in self.taking.items)
+        return all(server.id in tried for server in self.accepting.items)
 
     def refresh(self, server: ServerLoad) -> None:
         """Put `server` into or out of the lists of servers with room.
@@ -326,13 +326,13 @@
         """
         if self.servers.get(server.id) is not server:
             return
-        taking = not (server.view.leaving or server.paused)
-        if taking:
-            self.taking.add(server)
+        accepting = not (server.view.leaving or server.paused)
+        if accepting:
+            self.accepting.add(server)
         else:
-            self.taking.discard(server)
+            self.accepting.discard(server)
         trying = server.failures > 0 and server.view.in_flight > 0
-        usable = taking and not server.slow and not trying
+        usable = accepting and not server.slow and not trying
         for tier, members in self.available.items():
             room = server.granted(tier) > 0 or server.plenty(tier) > 0
             if usable and room:
--- a/packages/endive_core/tests/test_servers.py
+++ b/packages/endive_core/tests/test_servers.py
@@ -85,7 +85,7 @@
 def test_last_server_is_never_paused():
     made = servers()
     assert not made.pause(made.servers["s0"])
-    assert len(made.taking) == 1
+    assert len(made.accepting) == 1
 
 
 def test_a_server_that_is_gone_is_not_offered_again_when_its_last_work_ends():
@@ -99,7 +99,7 @@
     gone.paused = False
     made.refresh(gone)
     made.answered(gone)
-    for members in (made.taking, *made.available.values()):
+    for members in (made.accepting, *made.available.values()):
         assert "s0" not in members.positions
 
 
