--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -161,7 +161,8 @@
     def predict(self, call: Call) -> Prediction:
         """Return when the first token of `call` is expected."""
         slots = max(
-            1.0, self.servers.own_total + len(self.servers.available[Tier.WITHIN_SHARE])
+            1.0,
+            self.servers.own_in_flight + len(self.servers.available[Tier.WITHIN_SHARE]),
         )
         tokens_per_s = slots * self.rate.tokens_per_slot_s
         ahead = self.queue.tokens_ahead(call.rank, call.organisation)
--- a/packages/endive_core/src/endive_core/failures.py
+++ b/packages/endive_core/src/endive_core/failures.py
@@ -132,7 +132,7 @@
         # The budget is for work that is repeated. What was never started cost next to
         # nothing, and a zone's dead servers would use it up for streams they broke.
         if started and not self.budget(call.deployment).spend(
-            in_flight=self.servers.own_total
+            in_flight=self.servers.own_in_flight
         ):
             return Refusal.from_kind(
                 ErrorKind.RETRY_BUDGET_SPENT, "too many calls are being sent again"
--- a/packages/endive_core/src/endive_core/servers.py
+++ b/packages/endive_core/src/endive_core/servers.py
@@ -139,7 +139,7 @@
         self.available = {tier: MemberList() for tier in Tier}
         self.accepting = MemberList()
         self.nodes = 1
-        self.own_total = 0
+        self.own_in_flight = 0
         self.change_total = 0
         self.reported_total = 0
         self.slots_total = 0
@@ -172,7 +172,7 @@
         view = server.view
         self.servers.pop(view.id)
         self.reported_total -= view.reported_running + view.reported_waiting
-        self.own_total -= view.in_flight
+        self.own_in_flight -= view.in_flight
         self.change_total -= server.change
         self.yielding_total -= server.yielding_tokens
         for members in (*self.available.values(), self.accepting):
@@ -187,14 +187,14 @@
         this node's part of the reported load. What was sent since the reports is left
         out on both sides: the others' is not known.
         """
-        own = max(0, self.own_total - self.change_total)
+        own = max(0, self.own_in_flight - self.change_total)
         total = max(own, self.reported_total)
         return min(1.0, (own + 1) / (total + self.nodes))
 
     @property
     def mean_utilisation(self) -> float:
         """Load over slots of all servers."""
-        total = max(self.own_total, self.reported_total)
+        total = max(self.own_in_flight, self.reported_total)
         return total / self.slots_total if self.slots_total else 0.0
 
     def report(
@@ -244,7 +244,7 @@
     def adjust_in_flight(self, server: ServerLoad, sign: int, now: float) -> None:
         """Count an own send or end at `server`."""
         server.adjust_in_flight(sign, now)
-        self.own_total += sign
+        self.own_in_flight += sign
         self.change_total += sign
         self.refresh(server)
 
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -139,7 +139,7 @@
         for name, scheduler in self.schedulers.items():
             servers = scheduler.servers
             slots = servers.slots_total / max(1, len(servers.servers))
-            parts[name] = servers.own_total / slots if slots else 0.0
+            parts[name] = servers.own_in_flight / slots if slots else 0.0
         return parts
 
     def tell_backlogs(self) -> dict[str, float]:
--- a/packages/endive_gateway/tests/test_forwarding.py
+++ b/packages/endive_gateway/tests/test_forwarding.py
@@ -289,7 +289,7 @@
         caller.close()
         gevent.sleep(0.1)
         (scheduler,) = running.context.placer.schedulers.values()
-        assert scheduler.servers.own_total == 0
+        assert scheduler.servers.own_in_flight == 0
         assert not running.context.placer.owners
         assert not running.context.pool.idle["i-1"]
 
