--- a/packages/endive_core/src/endive_core/outliers.py
+++ b/packages/endive_core/src/endive_core/outliers.py
@@ -77,7 +77,7 @@
         """
         self.observe(server, seconds=FAILED_RATIO, expected_s=1.0)
 
-    def compare(self, now: float) -> None:
+    def update_outliers(self, now: float) -> None:
         """Set each server's slowness, if it is time to; costs one pass over all.
 
         At most a share of the servers is marked: with most of them "slow" the cause
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -209,7 +209,7 @@
 
     def _tick(self, now: float) -> None:
         self.first_tokens.take_rate(now)
-        self.outliers.compare(now)
+        self.outliers.update_outliers(now)
         self.failures.resume(now)
         self.expiry.expire_without_servers(now)
 
