--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -119,7 +119,9 @@
         self, server_id: str, seq: int, *, stored: bool, blocks: list[int]
     ) -> None:
         """Take over one cache event of a server."""
-        self.placement.prefixes.event(server_id, seq, stored=stored, blocks=blocks)
+        self.placement.prefixes.apply_event(
+            server_id, seq, stored=stored, blocks=blocks
+        )
 
     def leaving(self, server_id: str) -> None:
         """Give a server no new work any more."""
