--- a/packages/endive_core/src/endive_core/first_tokens.py
+++ b/packages/endive_core/src/endive_core/first_tokens.py
@@ -16,7 +16,7 @@
 twenty."""
 
 
-class FirstTokens:
+class FirstTokenLearner:
     """Learns from first tokens, and lets the other decisions reckon with it.
 
     Attributes
@@ -38,7 +38,7 @@
         self.prefill = prefill
         self.next_rates_at = 0.0
 
-    def take_rate(self, now: float) -> None:
+    def update_prefill_rates(self, now: float) -> None:
         """Let placement and admission reckon with the rate; one pass over all."""
         if self.prefill is None or now < self.next_rates_at:
             return
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -15,7 +15,7 @@
 from endive_core.exceptions import ErrorKind, RetryReason
 from endive_core.expiry import Expiry
 from endive_core.failures import Failures
-from endive_core.first_tokens import FirstTokens
+from endive_core.first_tokens import FirstTokenLearner
 from endive_core.messages import ServerView
 from endive_core.outliers import OutlierDetector
 from endive_core.placement import Placement
@@ -73,7 +73,7 @@
         self.admission = Admission(
             policy, self.servers, self.queue, self.usage, self.crashes, service_type
         )
-        self.first_tokens = FirstTokens(
+        self.first_tokens = FirstTokenLearner(
             self.servers, self.admission.rate, self.outliers, prefill
         )
         self.failures = Failures(policy, self.servers, self.crashes, random)
@@ -210,7 +210,7 @@
         return self.placement.choose(ticket, now, tier)
 
     def _tick(self, now: float) -> None:
-        self.first_tokens.take_rate(now)
+        self.first_tokens.update_prefill_rates(now)
         self.outliers.update_outliers(now)
         self.failures.resume(now)
         self.expiry.expire_without_servers(now)
