--- a/packages/endive_core/src/endive_core/failures.py
+++ b/packages/endive_core/src/endive_core/failures.py
@@ -19,7 +19,7 @@
 """Crashes whose suspects are kept while their broken streams come in one by one."""
 
 
-class Failures:
+class FailureHandler:
     """Decides after each failed attempt: pause the server, blame, retry or refuse.
 
     The load this is for: a server, a zone, or every server fails. Callers meet it as
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -14,7 +14,7 @@
 from endive_core.crashes import CrashTable
 from endive_core.exceptions import ErrorKind, RetryReason
 from endive_core.expiry import Expiry
-from endive_core.failures import Failures
+from endive_core.failures import FailureHandler
 from endive_core.first_tokens import FirstTokenLearner
 from endive_core.messages import ServerView
 from endive_core.outliers import OutlierDetector
@@ -76,7 +76,7 @@
         self.first_tokens = FirstTokenLearner(
             self.servers, self.admission.rate, self.outliers, prefill
         )
-        self.failures = Failures(policy, self.servers, self.crashes, random)
+        self.failures = FailureHandler(policy, self.servers, self.crashes, random)
         self.running = self.failures.running
         self.refusals: Counter[ErrorKind] = Counter()
         self.expiry = Expiry(
