--- a/packages/endive_core/src/endive_core/failures.py
+++ b/packages/endive_core/src/endive_core/failures.py
@@ -88,14 +88,14 @@
             self.paused.append(server)
             self.paused.sort(key=lambda paused: paused.view.failed_until)
 
-    def resume(self, now: float) -> None:
+    def resume_paused(self, now: float) -> None:
         """Give paused servers work again whose time is over."""
         while self.paused and self.paused[0].view.failed_until <= now:
             server = self.paused.pop(0)
             server.paused = False
             self.servers.refresh(server)
 
-    def verdict(
+    def decide_retry(
         self,
         ticket: Ticket,
         now: float,
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -212,7 +212,7 @@
     def _tick(self, now: float) -> None:
         self.first_tokens.update_prefill_rates(now)
         self.outliers.update_outliers(now)
-        self.failures.resume(now)
+        self.failures.resume_paused(now)
         self.expiry.expire_without_servers(now)
 
     def close(self) -> None:
@@ -312,15 +312,15 @@
             ticket.avoid.add(ticket.server)
         self._release(ticket, now)
         self._blame(server, now, reason, started=started)
-        verdict = self.failures.verdict(
+        decision = self.failures.decide_retry(
             ticket, now, started=started, max_attempts=max_attempts
         )
-        if isinstance(verdict, Refusal):
-            self.refusals[verdict.kind] += 1
+        if isinstance(decision, Refusal):
+            self.refusals[decision.kind] += 1
             self.admission.end(ticket)
         else:
             self.retries[reason] += 1
-        return verdict
+        return decision
 
     def blame(
         self, ticket: Ticket, now: float, reason: RetryReason, *, started: bool
