--- a/packages/endive_core/src/endive_core/outliers.py
+++ b/packages/endive_core/src/endive_core/outliers.py
@@ -10,7 +10,7 @@
 
 from endive_core.policy import Policy
 from endive_core.servers import ServerLoad, ServerSet
-from endive_core.suspicions import Suspicions
+from endive_core.suspicions import ClusterEjection
 
 MIN_SAMPLES = 5
 """Latencies before a server is judged; one slow call proves nothing."""
@@ -55,7 +55,7 @@
         self.servers = servers
         self.next_at = 0.0
         self.slow: list[ServerLoad] = []
-        self.suspicions: Suspicions | None = None
+        self.suspicions: ClusterEjection | None = None
         self.suspects: set[str] = set()
 
     def observe(self, server: ServerLoad, *, seconds: float, expected_s: float) -> None:
--- a/packages/endive_core/src/endive_core/suspicions.py
+++ b/packages/endive_core/src/endive_core/suspicions.py
@@ -48,7 +48,7 @@
     length_s: float
 
 
-class Suspicions:
+class ClusterEjection:
     """Counts failures by server, here and at the other nodes."""
 
     def __init__(self) -> None:
--- a/packages/endive_core/tests/test_suspicions.py
+++ b/packages/endive_core/tests/test_suspicions.py
@@ -9,7 +9,7 @@
     MOST_TOLD,
     RATIO,
     WINDOW_S,
-    Suspicions,
+    ClusterEjection,
 )
 
 SERVERS = [f"s{number}" for number in range(45)]
@@ -32,7 +32,7 @@
 def failures_of(nodes, *, telling, seconds=8.0, each_s=0.001):
     """Play `nodes` before servers of which four fail all; return the failed share."""
     random = Random(7)
-    fleet = [Suspicions() for _ in range(nodes)]
+    fleet = [ClusterEjection() for _ in range(nodes)]
     suspects = [set() for _ in fleet]
     asked = lost = 0
     for tick in range(int(seconds / each_s)):
@@ -66,7 +66,7 @@
 
 
 def test_one_nodes_failures_alone_suspect_nobody():
-    made = Suspicions()
+    made = ClusterEjection()
     failed(made, "s1", 50)
     assert made.suspects(SERVERS, 10.1) == set()
 
@@ -74,7 +74,7 @@
 def test_where_all_servers_fail_alike_none_is_suspected():
     """A fault that all share, such as bad requests, would else leave the load to a few
     servers, one after the other."""
-    made = Suspicions()
+    made = ClusterEjection()
     made.hear("b", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
     made.hear("c", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
     made.hear("d", {"s1": int(RATIO)}, 10.0)
@@ -82,7 +82,7 @@
 
 
 def test_at_most_a_part_of_the_servers_is_suspected():
-    made = Suspicions()
+    made = ClusterEjection()
     made.hear("b", dict.fromkeys(SERVERS[:8], 1000), 10.0)
     made.hear("c", dict.fromkeys(SERVERS[:8], 1000), 10.0)
     made.hear("d", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
@@ -91,7 +91,7 @@
 
 
 def test_a_suspect_is_tried_again_and_longer_avoided_if_it_still_fails():
-    made = Suspicions()
+    made = ClusterEjection()
     made.hear("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3)
     assert made.suspects(SERVERS, 10.1) == {"s1"}
@@ -105,14 +105,14 @@
 
 
 def test_what_a_node_told_long_ago_counts_no_more():
-    made = Suspicions()
+    made = ClusterEjection()
     made.hear("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3, 10.0 + WINDOW_S)
     assert made.suspects(SERVERS, 10.1 + WINDOW_S) == set()
 
 
 def test_a_telling_stays_small():
-    made = Suspicions()
+    made = ClusterEjection()
     for server in SERVERS:
         made.failed(server, 1.0)
     assert len(made.tell(1.0)) == MOST_TOLD
@@ -121,7 +121,7 @@
 def failures_of_few(seed, failing):
     """Play many nodes before three servers; return the part of requests that fail."""
     random = Random(seed)
-    fleet = [Suspicions() for _ in range(MANY_NODES)]
+    fleet = [ClusterEjection() for _ in range(MANY_NODES)]
     told_at = [random.random() * TOLD_EVERY_S for _ in fleet]
     asked = lost = 0
     while (now := asked / REQUESTS_PER_S) < LENGTH_S:
@@ -157,7 +157,7 @@
 def test_one_of_two_servers_is_not_suspected():
     """Without a third server nothing says which of two is the odd one."""
     servers = FEW_SERVERS[: LEAST_SERVERS - 1]
-    made = Suspicions()
+    made = ClusterEjection()
     failed(made, servers[0], LEAST_FAILURES, now=1.0)
     made.hear("other", {servers[0]: LEAST_FAILURES}, 1.0)
     assert made.suspects(servers, 1.0) == set()
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -15,7 +15,7 @@
 from endive_core.routing import RoutingTable, Service
 from endive_core.scheduler import Scheduler
 from endive_core.service_types import ServiceType
-from endive_core.suspicions import Suspicions
+from endive_core.suspicions import ClusterEjection
 from endive_node.logs import log_event
 from endive_node.waiters import Waiters, crash_name, refusal_error
 
@@ -73,7 +73,7 @@
         self.services: dict[str, Service] = {}
         self.views: dict[str, ServerView] = {}
         self.in_a_row: Counter[str] = Counter()
-        self.suspicions = Suspicions()
+        self.suspicions = ClusterEjection()
         self.backlogs = Backlogs()
         self.is_listening = is_listening
         self.wall_time = time.time
