--- a/packages/endive_core/src/endive_core/outliers.py
+++ b/packages/endive_core/src/endive_core/outliers.py
@@ -8,9 +8,9 @@
 
 from statistics import median
 
+from endive_core.ejection import ClusterEjection
 from endive_core.policy import Policy
 from endive_core.servers import ServerLoad, ServerSet
-from endive_core.suspicions import ClusterEjection
 
 MIN_SAMPLES = 5
 """Latencies before a server is judged; one slow call proves nothing."""
@@ -55,7 +55,7 @@
         self.servers = servers
         self.next_at = 0.0
         self.slow: list[ServerLoad] = []
-        self.suspicions: ClusterEjection | None = None
+        self.ejection: ClusterEjection | None = None
         self.suspects: set[str] = set()
 
     def observe(self, server: ServerLoad, *, seconds: float, expected_s: float) -> None:
@@ -104,10 +104,10 @@
 
     def _suspect(self, now: float) -> None:
         """Mark the servers that fail under all nodes together."""
-        if self.suspicions is None:
+        if self.ejection is None:
             return
         before = self.suspects
-        self.suspects = self.suspicions.suspects(self.servers.servers.keys(), now)
+        self.suspects = self.ejection.suspects(self.servers.servers.keys(), now)
         for server_id in before ^ self.suspects:
             server = self.servers.servers.get(server_id)
             if server is not None:
--- a/packages/endive_core/tests/test_outliers.py
+++ b/packages/endive_core/tests/test_outliers.py
@@ -2,10 +2,10 @@
 
 from core_builders import view
 from endive_core.calls import Tier
+from endive_core.ejection import HOLD_S, ClusterEjection
 from endive_core.outliers import MIN_SAMPLES, OutlierDetector
 from endive_core.policy import Policy
 from endive_core.servers import ServerSet
-from endive_core.suspicions import HOLD_S, ClusterEjection
 
 
 def detector(latencies):
@@ -129,9 +129,9 @@
     """Other nodes tell of a server that fails. This one has hardly sent it anything,
     and each of its probes would be one more caller's failure."""
     made = detector([0.1] * 5)
-    made.suspicions = ClusterEjection()
-    made.suspicions.hear("b", {"s2": 9}, 1.5)
-    made.suspicions.hear("c", {"s2": 9}, 1.5)
+    made.ejection = ClusterEjection()
+    made.ejection.hear("b", {"s2": 9}, 1.5)
+    made.ejection.hear("c", {"s2": 9}, 1.5)
     made.update_outliers(2.0)
     assert "s2" not in made.servers.available[Tier.WITHIN_SHARE].positions
     assert made.probe(4.5) is None
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -271,7 +271,7 @@
             reported=context.reported,
             news=self.servers.news() if self.servers and self.is_reader() else None,
             duty_end=self.duty_end,
-            failing=context.placer.suspicions.tell(now),
+            failing=context.placer.ejection.tell(now),
             age_s=now - context.started_at,
             starting=context.placer.tell_backlogs(),
             proof_age_s=self.configuration.proof_age_s() if self.configuration else -1,
@@ -317,7 +317,7 @@
         context.meter.hear(address, telling.incarnation, telling.windows)
         for fingerprint, server, age_s in telling.crashes:
             context.placer.crashes.add(Crash(fingerprint, server, now - age_s))
-        context.placer.suspicions.hear(address, telling.failing, now)
+        context.placer.ejection.hear(address, telling.failing, now)
         context.placer.backlogs.hear(address, telling.starting, now)
         if telling.version < 0 <= context.version:
             self._greet(peer)
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -8,6 +8,7 @@
 from endive_core.backlogs import Backlogs, told_tokens
 from endive_core.calls import Call, Retry, Ticket
 from endive_core.crashes import CrashTable
+from endive_core.ejection import ClusterEjection
 from endive_core.exceptions import EndiveError, ErrorKind, RetryReason
 from endive_core.messages import ServerView
 from endive_core.policy import Policy
@@ -15,7 +16,6 @@
 from endive_core.routing import RoutingTable, Service
 from endive_core.scheduler import Scheduler
 from endive_core.service_types import ServiceType
-from endive_core.suspicions import ClusterEjection
 from endive_node.logs import log_event
 from endive_node.waiters import Waiters, crash_name, refusal_error
 
@@ -73,7 +73,7 @@
         self.services: dict[str, Service] = {}
         self.views: dict[str, ServerView] = {}
         self.in_a_row: Counter[str] = Counter()
-        self.suspicions = ClusterEjection()
+        self.ejection = ClusterEjection()
         self.backlogs = Backlogs()
         self.is_listening = is_listening
         self.wall_time = time.time
@@ -108,7 +108,7 @@
                     prefill=PrefillRate() if service.engine else None,
                 )
                 scheduler.set_nodes(self.nodes)
-                scheduler.outliers.suspicions = self.suspicions
+                scheduler.outliers.ejection = self.ejection
                 if service.engine:
                     scheduler.placement.backlogs = self.backlogs
             usable = [s.entry for s in self.registry.of_service(name) if s.usable]
@@ -214,7 +214,7 @@
     ) -> RetryReason:
         """Return the reason that counts: one lost answer says little of a server."""
         if started and reason in (RetryReason.SERVER_FAILED, RetryReason.SERVER_SLOW):
-            self.suspicions.failed(ticket.server, self.now())
+            self.ejection.failed(ticket.server, self.now())
         if reason is not RetryReason.SERVER_FAILED:
             return reason
         self.in_a_row[ticket.server] += 1
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -93,11 +93,11 @@
     """A server fails each request. One node of sixty sends it one in three seconds,
     and would go on; only all together can tell."""
     placer = peers.context.placer
-    placer.suspicions.failed("i-1", time.monotonic())
+    placer.ejection.failed("i-1", time.monotonic())
     assert peers._telling(gone=False).failing == {"i-1": 1}
     peers.hear(telling(failing={"i-1": 9}), "127.0.0.2")
     servers = [f"i-{number}" for number in range(8)]
-    assert placer.suspicions.suspects(servers, time.monotonic()) == {"i-1"}
+    assert placer.ejection.suspects(servers, time.monotonic()) == {"i-1"}
 
 
 def test_nodes_find_each_other_by_the_store():
