--- a/packages/endive_core/src/endive_core/clocks.py
+++ b/packages/endive_core/src/endive_core/clocks.py
@@ -23,7 +23,7 @@
     at: float
 
 
-class TrueTime:
+class ClusterClock:
     """The time of day that most nodes agree on.
 
     Parameters
--- a/packages/endive_core/tests/test_clocks.py
+++ b/packages/endive_core/tests/test_clocks.py
@@ -1,4 +1,4 @@
-from endive_core.clocks import HEARD_S, TrueTime
+from endive_core.clocks import HEARD_S, ClusterClock
 
 
 class Clocks:
@@ -7,7 +7,7 @@
         self.wall = 1_000_000.0
 
     def made(self):
-        return TrueTime(lambda: self.steady, lambda: self.wall)
+        return ClusterClock(lambda: self.steady, lambda: self.wall)
 
 
 def test_a_clock_that_jumped_is_outvoted():
--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -4,7 +4,7 @@
 import time
 from collections.abc import Callable
 
-from endive_core.clocks import TrueTime
+from endive_core.clocks import ClusterClock
 from endive_core.metering import UsageMeter
 from endive_core.retrying import FleetRetryBudget
 from endive_core.routing import CallerLimits, OrganisationTerms, RoutingTable
@@ -66,7 +66,7 @@
         self.pool = ConnectionPool(wire)
         self.limits = SharedLimits(time.monotonic(), slack=settings.bounds.quota_slack)
         self.meter = UsageMeter(settings.bounds.usage_window_s)
-        self.true_time = TrueTime(time.monotonic, time.time)
+        self.true_time = ClusterClock(time.monotonic, time.time)
         self.budgets: dict[str, FleetRetryBudget] = {}
         self.metrics = GatewayMetrics()
         self.work = WorkMeter()
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -3,7 +3,7 @@
 import json
 
 import gevent
-from endive_core.clocks import TrueTime
+from endive_core.clocks import ClusterClock
 from endive_core.routing import (
     OrganisationTerms,
     Route,
@@ -312,4 +312,4 @@
 
 def fixed_time(context, wall):
     """Let the context's true time stand at `wall`."""
-    context.true_time = TrueTime(lambda: 0.0, lambda: wall)
+    context.true_time = ClusterClock(lambda: 0.0, lambda: wall)
