--- a/packages/endive_gateway/src/endive_gateway/ordering.py
+++ b/packages/endive_gateway/src/endive_gateway/ordering.py
@@ -7,8 +7,8 @@
     RECLAIMED_BACKOFF_S,
     CapacityView,
     Pool,
+    PoolBackoff,
     PoolState,
-    Refused,
     desired_servers,
 )
 from endive_core.leases import Lease
@@ -75,7 +75,7 @@
         self.begun_with: dict[str, int] = {}
         self.traffic_since: float | None = None
         self.taken: dict[tuple[str, Pool], tuple[int, float]] = {}
-        self.refused: dict[tuple[str, Pool], Refused] = {}
+        self.refused: dict[tuple[str, Pool], PoolBackoff] = {}
         self.next_try_at = 0.0
         self.reclaimed_at: dict[str, float] = {}
         self.lower_since: dict[tuple[str, Pool], float] = {}
@@ -284,10 +284,10 @@
             return REPEAT_S
         return min(REPEAT_S, service.scaling.boot_s + STARTED_S)
 
-    def _note_refusal(self, key, refusal: Refused | None, now: float) -> None:
+    def _note_refusal(self, key, refusal: PoolBackoff | None, now: float) -> None:
         pause = RECLAIMED_BACKOFF_S
         if refusal is not None:
             pause = min(MAX_BACKOFF_S, 2 * refusal.pause_s)
-        self.refused[key] = Refused(now + pause, pause)
+        self.refused[key] = PoolBackoff(now + pause, pause)
         self.taken.pop(key, None)
         log_event("order_refused", service=key[0], pool=key[1], pause_s=pause)
