--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -9,7 +9,7 @@
 from endive_core.backlogs import Backlogs, told_tokens
 from endive_core.calls import Refusal, Ticket
 from endive_core.capacity import CapacityView, Pool, PoolState, desired_servers
-from endive_core.load_sizing import USED_PART, LoadMeter
+from endive_core.load_sizing import TARGET_UTILISATION, LoadMeter
 from endive_core.messages import ServerView
 from endive_core.policy import Policy
 from endive_core.prefilling import PrefillRate
@@ -54,7 +54,7 @@
     policy: Policy = GATEWAY_POLICY
     backlogs: bool = True
     learned_rate: bool = True
-    used_part: float = USED_PART
+    used_part: float = TARGET_UTILISATION
 
     def limits(self, **changes) -> "Options":
         """Return the same with other limits."""
--- a/packages/endive_gateway/src/endive_gateway/ordering.py
+++ b/packages/endive_gateway/src/endive_gateway/ordering.py
@@ -12,7 +12,7 @@
     desired_servers,
 )
 from endive_core.leases import Lease
-from endive_core.load_sizing import USED_PART, LoadMeter
+from endive_core.load_sizing import TARGET_UTILISATION, LoadMeter
 from endive_core.routing import Service
 from endive_node.logs import log_event
 
@@ -136,7 +136,7 @@
     def needed(self, service: Service, now: float) -> float:
         """Return the servers that carry the service's load."""
         load = self.loads.get(service.name)
-        needed = max(LEAST_NEEDED, load.peak() / USED_PART if load else 0.0)
+        needed = max(LEAST_NEEDED, load.peak() / TARGET_UTILISATION if load else 0.0)
         if self._is_measured(now):
             return needed
         if self.traffic_since is None:
