--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -197,7 +197,9 @@
         run = self.running[ticket]
         arrival = run.arrival
         engine = self.engines[server]
-        node.work_s += ticket.uncached_tokens * node.rate.token_s / INTERLEAVED
+        node.work_s += (
+            ticket.uncached_tokens * node.rate.seconds_per_token / INTERLEAVED
+        )
         stream = Stream(
             arrival.parts,
             arrival.call.prompt_tokens,
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -156,7 +156,7 @@
         scheduler = self.schedulers.get(service)
         if scheduler is None or scheduler.prefill is None:
             return 0.0
-        return tokens * scheduler.prefill.token_s / INTERLEAVED
+        return tokens * scheduler.prefill.seconds_per_token / INTERLEAVED
 
     # One request's way
 
