--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -7,7 +7,7 @@
 from endive_core.clocks import ClusterClock
 from endive_core.metering import UsageMeter
 from endive_core.retrying import FleetRetryBudget
-from endive_core.routing import CallerLimits, OrganisationTerms, RoutingTable
+from endive_core.routing import CallerLimits, OrganisationLimits, RoutingTable
 from endive_core.sharing import SharedLimits
 from endive_node.logs import log_event
 from gevent.event import Event
@@ -70,7 +70,7 @@
         self.budgets: dict[str, FleetRetryBudget] = {}
         self.metrics = GatewayMetrics()
         self.work = WorkMeter()
-        self.take_units: Callable[[OrganisationTerms, float], float] = self._take_alone
+        self.take_units: Callable[[OrganisationLimits, float], float] = self._take_alone
         self.on_prompt: Callable[[str, float, float], None] = lambda *sent: None
         self.informed = Event()
         self.registry.listeners.append(self._see_informed)
@@ -87,12 +87,12 @@
         """Return the limits in force."""
         return self.table.limits if self.table else CallerLimits()
 
-    def terms(self, organisation: str) -> OrganisationTerms | None:
+    def terms(self, organisation: str) -> OrganisationLimits | None:
         """Return the terms in force of an organisation."""
         organisations = self.table.organisations if self.table else None
         return (organisations or {}).get(organisation)
 
-    def _take_alone(self, terms: OrganisationTerms, units: float) -> float:
+    def _take_alone(self, terms: OrganisationLimits, units: float) -> float:
         """Spend without a word to other nodes."""
         return self.limits.wait_s(
             terms.name, units, time.monotonic(), rate=terms.rate, burst=terms.burst
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -7,7 +7,7 @@
 from endive_core.exceptions import EndiveError, ErrorKind
 from endive_core.hashing import fingerprint
 from endive_core.prefixes import part_blocks
-from endive_core.routing import OrganisationTerms, Route, RouteKind
+from endive_core.routing import OrganisationLimits, Route, RouteKind
 from endive_node.logs import log_event, log_failure
 
 from endive_gateway.attempts import Attempt
@@ -70,7 +70,7 @@
         self.facts = RequestFacts("")
         self.progress = Progress(exchange.received_at)
         self.route: Route | None = None
-        self.terms: OrganisationTerms | None = None
+        self.terms: OrganisationLimits | None = None
         self.organisation = ""
         self.ticket: Ticket | None = None
         self.splitter = EventSplitter()
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -21,7 +21,7 @@
     coordinator_for,
     may_spend_without_grant,
 )
-from endive_core.routing import OrganisationTerms
+from endive_core.routing import OrganisationLimits
 from endive_core.sharing import SpendingOrigin
 from endive_node.logs import log_event
 from gevent.event import AsyncResult
@@ -126,7 +126,7 @@
         """Stop receiving and close the port."""
         self.datagrams.stop()
 
-    def take(self, terms: OrganisationTerms, units: float) -> float:
+    def take(self, terms: OrganisationLimits, units: float) -> float:
         """Return 0 and spend `units` if a request may come, else the seconds to wait.
 
         See :meth:`endive_core.sharing.SharedLimits.wait_s`. Among many nodes, what is
@@ -150,7 +150,7 @@
             return False
         return not may_spend_without_grant(units, left=left, nodes=nodes)
 
-    def _take_alone(self, terms: OrganisationTerms, units: float, now: float) -> float:
+    def _take_alone(self, terms: OrganisationLimits, units: float, now: float) -> float:
         wait_s = self.context.limits.wait_s(
             terms.name, units, now, rate=terms.rate, burst=terms.burst
         )
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -5,7 +5,7 @@
 import gevent
 from endive_core.clocks import ClusterClock
 from endive_core.routing import (
-    OrganisationTerms,
+    OrganisationLimits,
     Route,
     RouteKind,
     RoutingTable,
@@ -130,7 +130,7 @@
     """Return a table with one route that needs the key ``k`` of ``o``."""
     return make_table(
         make_route(public=False, **options),
-        organisations={"o": OrganisationTerms("o")},
+        organisations={"o": OrganisationLimits("o")},
         keys={"k": "o"},
     )
 
--- a/packages/endive_gateway/tests/test_forwarding.py
+++ b/packages/endive_gateway/tests/test_forwarding.py
@@ -3,7 +3,7 @@
 import gevent
 import pytest
 from endive_core.routing import (
-    OrganisationTerms,
+    OrganisationLimits,
     RouteKind,
 )
 from endive_gateway.interfaces import ServerState
@@ -337,7 +337,7 @@
 
 
 def test_a_limit_is_told_as_not_run_and_costs_no_server():
-    terms = OrganisationTerms("o", rate=1.0, burst=1.0)
+    terms = OrganisationLimits("o", rate=1.0, burst=1.0)
     table = make_table(
         make_route(public=False), organisations={"o": terms}, keys={"k": "o"}
     )
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from endive_core.counting import GRANT_TIMEOUT_S, coordinator_for
-from endive_core.routing import OrganisationTerms
+from endive_core.routing import OrganisationLimits
 from endive_gateway import spending
 from endive_gateway.spending import (
     DECODER,
@@ -17,7 +17,7 @@
 )
 from gateway_builders import make_context, make_route, make_table
 
-TERMS = OrganisationTerms("o", rate=100.0, burst=100.0)
+TERMS = OrganisationLimits("o", rate=100.0, burst=100.0)
 OTHERS = ("127.0.0.2", "127.0.0.3", "127.0.0.4")
 
 
--- a/tests/test_platform_logs.py
+++ b/tests/test_platform_logs.py
@@ -3,7 +3,7 @@
 
 import gevent
 import pytest
-from endive_core.routing import OrganisationTerms, RouteKind
+from endive_core.routing import OrganisationLimits, RouteKind
 from endive_gateway.connections import is_listening
 from endive_node import logs
 from gateway_builders import Running, make_route, make_table
@@ -44,7 +44,7 @@
 
 
 def test_the_lines_on_the_operators_page_are_those_that_are_written(lines):
-    terms = OrganisationTerms("o", rate=0.01, burst=0.001)
+    terms = OrganisationLimits("o", rate=0.01, burst=0.001)
     limited = make_table(
         make_route(public=False), organisations={"o": terms}, keys={"k": "o"}
     )
