--- a/packages/endive_core/src/endive_core/routing.py
+++ b/packages/endive_core/src/endive_core/routing.py
@@ -60,7 +60,7 @@
     pause_s: float = 1.0
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a request that may have run may be sent once more."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
--- a/packages/endive_core/tests/test_routing.py
+++ b/packages/endive_core/tests/test_routing.py
@@ -63,10 +63,10 @@
 
 
 def test_only_resumable_streams_and_idempotent_calls_may_be_repeated():
-    assert route("/").repeatable
-    assert not route("/", kind=RouteKind.NON_IDEMPOTENT).repeatable
-    assert not route("/", kind=RouteKind.STREAM).repeatable
-    assert route("/", kind=RouteKind.STREAM, resumable=True).repeatable
+    assert route("/").retryable
+    assert not route("/", kind=RouteKind.NON_IDEMPOTENT).retryable
+    assert not route("/", kind=RouteKind.STREAM).retryable
+    assert route("/", kind=RouteKind.STREAM, resumable=True).retryable
 
 
 def test_a_request_counts_by_its_tokens_only_where_the_limit_does():
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -193,7 +193,7 @@
             target_s=max(0.01, route.target_s - spent),
             deadline=now + self.left_s(),
             fingerprint=fingerprint(content.decode("latin-1")),
-            non_idempotent=not route.repeatable,
+            non_idempotent=not route.retryable,
         )
 
     def _spend_quota(self, call: Call) -> None:
@@ -320,7 +320,7 @@
             raise EndiveError(ErrorKind.BACKEND_REJECTED, "the server refused")
         if not error.counts:
             return
-        if error.started and not self.route.repeatable:
+        if error.started and not self.route.retryable:
             raise EndiveError(ErrorKind.OUTCOME_UNKNOWN, "the request may have run")
         if self.ticket.attempt >= self.route.max_attempts + self.uncounted:
             raise EndiveError(
