--- a/packages/endive_core/src/endive_core/calls.py
+++ b/packages/endive_core/src/endive_core/calls.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum, StrEnum
 
-from endive_core.exceptions import ANSWERS, ErrorKind
+from endive_core.exceptions import ERROR_RESPONSES, ErrorKind
 from endive_core.prefixes import BLOCK_TOKENS
 
 BULK_LEVEL = -1000
@@ -161,7 +161,7 @@
     ) -> "Refusal":
         """Return a refusal; the table's time to come back if none is known better."""
         if retry_after_s is None:
-            retry_after_s = ANSWERS[kind].retry_after_s
+            retry_after_s = ERROR_RESPONSES[kind].retry_after_s
         return cls(kind, retry_after_s, message)
 
 
--- a/packages/endive_core/src/endive_core/exceptions.py
+++ b/packages/endive_core/src/endive_core/exceptions.py
@@ -1,8 +1,8 @@
 """The closed list of error kinds, the table from kind to answer, and the exceptions.
 
 Everything that can go wrong for a caller or an operator is one :class:`ErrorKind`.
-The table :data:`ANSWERS` says once, for all of the code, which HTTP status a kind
-gets, whether the request ran, and when it is worth coming back.
+The table :data:`ERROR_RESPONSES` says once, for all of the code, which HTTP status a
+kind gets, whether the request ran, and when it is worth coming back.
 """
 
 from dataclasses import dataclass
@@ -75,7 +75,7 @@
 
 _NO, _UNKNOWN, _YES = Executed.NO, Executed.UNKNOWN, Executed.YES
 
-ANSWERS: dict[ErrorKind, Answer] = {
+ERROR_RESPONSES: dict[ErrorKind, Answer] = {
     ErrorKind.MALFORMED_BODY: Answer(400, _NO),
     ErrorKind.UNKNOWN_FIELD: Answer(400, _NO),
     ErrorKind.INVALID_FIELD: Answer(400, _NO),
@@ -180,7 +180,7 @@
         self.message = message
         self.details = details or {}
         self.request_id = ""
-        answer = ANSWERS[kind]
+        answer = ERROR_RESPONSES[kind]
         self.status = answer.status
         self.executed = answer.executed
         self.retry_after_s = (
