--- a/packages/endive_node/src/endive_node/gossip.py
+++ b/packages/endive_node/src/endive_node/gossip.py
@@ -8,7 +8,7 @@
 import gevent
 import thriftpy2
 from endive_core.facts import Fact, FactKind, FactTable
-from endive_core.members import Beat, Digest, Member, MemberState
+from endive_core.members import Digest, Heartbeat, Member, MemberState
 from endive_core.membership import Membership, Timings
 from thriftpy2.protocol import TCompactProtocolFactory
 from thriftpy2.utils import deserialize, serialize
@@ -322,10 +322,10 @@
     )
 
 
-def _decode_beats(beats) -> list[Beat]:
+def _decode_beats(beats) -> list[Heartbeat]:
     columns = (beats.members, beats.heartbeats, beats.states, beats.offsets)
     return [
-        Beat(int(member), int(heartbeat), STATES[state], int(offset))
+        Heartbeat(int(member), int(heartbeat), STATES[state], int(offset))
         for member, heartbeat, state, offset in zip(*columns, strict=True)
     ]
 
