--- a/packages/endive_core/src/endive_core/membership.py
+++ b/packages/endive_core/src/endive_core/membership.py
@@ -245,12 +245,12 @@
     def receiver(self) -> str | None:
         """Return the gossip address that the next datagram goes to."""
         members = [k.member.gossip_address for k in self.known.values()]
-        strangers = self.strangers()
-        if strangers and (not members or self.random.random() < STRANGER_SHARE):
-            return self.random.choice(strangers)
+        unknown_addresses = self.unknown_addresses()
+        if unknown_addresses and (not members or self.random.random() < STRANGER_SHARE):
+            return self.random.choice(unknown_addresses)
         return self.random.choice(members) if members else None
 
-    def strangers(self) -> list[str]:
+    def unknown_addresses(self) -> list[str]:
         """Return the gossip addresses at which a node may be that is not known here."""
         heard_of = {known.member.gossip_address for known in self.known.values()}
         heard_of.add(self.me.gossip_address)
--- a/packages/endive_node/src/endive_node/gossip.py
+++ b/packages/endive_node/src/endive_node/gossip.py
@@ -207,7 +207,7 @@
         within 0.2 s (one play in three, three nodes started together).
         """
         addresses = [member.gossip_address for member in self.members.reachable()]
-        addresses += self.members.strangers()
+        addresses += self.members.unknown_addresses()
         self.random.shuffle(addresses)
         for address in addresses[:ANNOUNCE_TO]:
             self.send(self.members.digest(), address)
