--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -140,7 +140,7 @@
 
     def _try_claim(self) -> None:
         if self.peers.duty_moved_at is not None:
-            self.log.hear_end(self.peers.duty_end, self.peers.duty_moved_at)
+            self.log.observe_peer_end(self.peers.duty_end, self.peers.duty_moved_at)
         self._read()
         if not self.log.may_claim(self.me, boot_time()):
             return
@@ -205,7 +205,7 @@
             raise
         self.log.fold(offset, record)
         self.next = offset + 1
-        self.log.see_end(self.next, boot_time())
+        self.log.observe_end(self.next, boot_time())
         return offset
 
     def _record(self, kind: DutyKind, body: dict) -> DutyRecord:
@@ -231,7 +231,7 @@
                 continue
             self.last_read = record
             self.log.fold(entry.offset, record)
-        self.log.see_end(page.end, boot_time())
+        self.log.observe_end(page.end, boot_time())
 
     def _read_quietly(self) -> None:
         try:
