--- a/packages/endive_gateway/src/endive_gateway/configuration.py
+++ b/packages/endive_gateway/src/endive_gateway/configuration.py
@@ -142,8 +142,10 @@
     def _check_again_s(self, asked_at: float) -> float:
         """Return the time to the next check after one that got no answer."""
         nodes = 1 if self.readers is None else self.readers.live_nodes()
-        turns_s = self.freshness.turns_s(nodes) * self.context.random.uniform(0.7, 1.3)
-        pause_s = max(self._backed_off(), turns_s)
+        retry_delay_s = self.freshness.retry_delay_s(
+            nodes
+        ) * self.context.random.uniform(0.7, 1.3)
+        pause_s = max(self._backed_off(), retry_delay_s)
         return max(CHECK_LOOK_S, asked_at + pause_s - boot_time())
 
     def _read_at_once(self) -> None:
