--- a/packages/endive_core/src/endive_core/handover.py
+++ b/packages/endive_core/src/endive_core/handover.py
@@ -151,7 +151,7 @@
 
 
 @dataclass(frozen=True)
-class Departure:
+class PendingTransfer:
     """What the order of leaving depends on, for one request."""
 
     request_id: str
@@ -160,7 +160,7 @@
     waits: bool
 
 
-def departure_order(departures: Iterable[Departure]) -> list[str]:
+def transfer_order(departures: Iterable[PendingTransfer]) -> list[str]:
     """Return request ids in the order in which their records leave.
 
     The node may be killed before the time it was told, so what leaves first survives.
