--- a/packages/endive_core/src/endive_core/handover.py
+++ b/packages/endive_core/src/endive_core/handover.py
@@ -128,7 +128,7 @@
     return request_id.rpartition(".")[0]
 
 
-def targets(
+def handover_targets(
     route: str,
     members: Iterable[Member],
     *,
--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -9,8 +9,8 @@
     PendingTransfer,
     RequestTransfer,
     batches,
+    handover_targets,
     route_in,
-    targets,
     transfer_of,
     transfer_order,
 )
@@ -205,7 +205,7 @@
     def _target(self, request_id: str):
         handover = self.handover
         gone = {handover.section.id} | handover.board.instances()
-        order = targets(
+        order = handover_targets(
             route_in(request_id),
             handover.members.live(),
             zones_under_notice=handover.board.zones(),
--- a/packages/endive_node/src/endive_node/locating.py
+++ b/packages/endive_node/src/endive_node/locating.py
@@ -8,10 +8,10 @@
 from endive_core.handover import (
     CANDIDATES,
     RequestHead,
+    handover_targets,
     origin_in,
     route_in,
     route_of,
-    targets,
 )
 
 from endive_node.backends import PlainAnswer
@@ -82,7 +82,7 @@
     def _candidates(self, lookup: "Lookup") -> list[str]:
         live = self.members.live()
         own = frozenset({self.node_id})
-        order = targets(
+        order = handover_targets(
             lookup.route,
             live,
             zones_under_notice=self.board.zones(),
