--- a/packages/endive_core/src/endive_core/handover.py
+++ b/packages/endive_core/src/endive_core/handover.py
@@ -15,7 +15,7 @@
 from endive_core.messages import Endpoint, Request
 
 ROUTE_CHARACTERS = 16
-CANDIDATES = 3
+LOOKUP_CANDIDATES = 3
 """Members asked first: the best one, and two more because views differ by a node or
 two that has just come or gone."""
 
--- a/packages/endive_node/src/endive_node/locating.py
+++ b/packages/endive_node/src/endive_node/locating.py
@@ -6,7 +6,7 @@
 import msgspec
 from endive_core.exceptions import EndiveError, ErrorKind, Executed
 from endive_core.handover import (
-    CANDIDATES,
+    LOOKUP_CANDIDATES,
     RequestHead,
     handover_targets,
     origin_in,
@@ -73,7 +73,7 @@
         All candidates are asked at once, since a dead one costs a time-out.
         """
         order = self._candidates(lookup)
-        for asked in (order[: CANDIDATES + 1], order[CANDIDATES + 1 :]):
+        for asked in (order[: LOOKUP_CANDIDATES + 1], order[LOOKUP_CANDIDATES + 1 :]):
             found = self._ask_all(asked[:WIDER_CANDIDATES], lookup)
             if found is not None:
                 return found
