--- a/packages/endive_core/src/endive_core/claims.py
+++ b/packages/endive_core/src/endive_core/claims.py
@@ -19,19 +19,19 @@
 from endive_core.hashing import shard_of
 from endive_core.records import Claim, Release
 
-SHARDS = 32
+CLAIM_SHARDS = 32
 """Streams of claims. A key must fall in the same stream on every node, so this is no
 setting. 32 writers sharing 320 appends a second append every 0.1 s each, and a stream
 of an eighth of 27,000 requests a second brings its writer about 100 claims a second."""
 
-WINDOW_S = 3600.0
+CLAIM_WINDOW_S = 3600.0
 """How long a claim holds its key, in seconds, where the settings don't say. Bounded by
 a writer's memory: every claim within the window costs it less than a kilobyte."""
 
 
 def claim_shard(key: str) -> int:
     """Return the shard whose stream orders the claims of `key`."""
-    return shard_of(key, SHARDS)
+    return shard_of(key, CLAIM_SHARDS)
 
 
 class ClaimVerdict(StrEnum):
@@ -89,7 +89,7 @@
         The highest offset folded; -1 before the first record.
     """
 
-    def __init__(self, window_s: float = WINDOW_S) -> None:
+    def __init__(self, window_s: float = CLAIM_WINDOW_S) -> None:
         self.window_s = window_s
         self.offset = -1
         self.entries: OrderedDict[str, _Entry] = OrderedDict()
