--- a/packages/endive_core/src/endive_core/claims.py
+++ b/packages/endive_core/src/endive_core/claims.py
@@ -93,7 +93,7 @@
         self.window_s = window_s
         self.offset = -1
         self.entries: OrderedDict[str, _Entry] = OrderedDict()
-        self.live: dict[str, tuple[Claim, ...]] = {}
+        self.unreleased: dict[str, tuple[Claim, ...]] = {}
         self.released: OrderedDict[str, float] = OrderedDict()
 
     def apply(
@@ -132,23 +132,26 @@
             entry = _Entry(time, claim, *self._verdict(claim))
             self.entries[claim.claim_id] = entry
             if entry.verdict is not ClaimVerdict.VOID:
-                self.live[claim.key] = (*self.live.get(claim.key, ()), claim)
+                self.unreleased[claim.key] = (
+                    *self.unreleased.get(claim.key, ()),
+                    claim,
+                )
         return entry.outcome()
 
     def _verdict(self, claim: Claim) -> tuple[ClaimVerdict, Claim | None]:
         if claim.claim_id in self.released:
             return ClaimVerdict.VOID, None
-        others = self.live.get(claim.key)
+        others = self.unreleased.get(claim.key)
         if others:
             return ClaimVerdict.LOST, others[0]
         return ClaimVerdict.WON, None
 
     def _unblock(self, key: str, claim_id: str) -> None:
-        left = tuple(c for c in self.live.get(key, ()) if c.claim_id != claim_id)
+        left = tuple(c for c in self.unreleased.get(key, ()) if c.claim_id != claim_id)
         if left:
-            self.live[key] = left
+            self.unreleased[key] = left
         else:
-            self.live.pop(key, None)
+            self.unreleased.pop(key, None)
 
     def _forget(self, before: float) -> None:
         # Without this a writer's memory grows with every claim ever made, and a node
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -278,7 +278,7 @@
 def content(table: ClaimTable) -> tuple:
     """Return everything that decides what `table` does with further records."""
     decided = sorted((name, e.outcome()) for name, e in table.entries.items())
-    live = tuple(c.claim_id for c in table.live.get(KEY, ()))
+    live = tuple(c.claim_id for c in table.unreleased.get(KEY, ()))
     return (tuple(decided), live, frozenset(table.released))
 
 
