--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -11,7 +11,7 @@
 from endive_gateway.connections import ServerConnection
 from endive_gateway.context import Context
 from endive_gateway.events import EventSplitter
-from endive_gateway.exceptions import AttemptError, BrokenError
+from endive_gateway.exceptions import AttemptError, ConnectionBrokenError
 from endive_gateway.http import AnswerMessage, encode_head, end_to_end
 from endive_gateway.interfaces import (
     AnswerFacts,
@@ -94,7 +94,7 @@
         self.request.servers.append(view.id)
         try:
             self.connection = self.context.pool.take(view.id, view.address)
-        except BrokenError as error:
+        except ConnectionBrokenError as error:
             raise AttemptError(
                 f"connecting: {error}",
                 RetryReason.CONNECT_FAILED,
@@ -107,7 +107,7 @@
             self._send()
             message, facts = self.connection.read_head(self.request.facts.id)
             self._judge(message, facts)
-        except BrokenError as error:
+        except ConnectionBrokenError as error:
             self.request.count_plain_loss()
             raise AttemptError(
                 str(error), RetryReason.SERVER_FAILED, started=True
@@ -178,7 +178,7 @@
         """Refuse a success that is not the server's own."""
         encoding = header_value(message.headers, b"content-encoding").lower()
         if not facts.sealed or encoding not in (b"", b"identity"):
-            raise BrokenError("an answer without a signature", sent=True)
+            raise ConnectionBrokenError("an answer without a signature", sent=True)
 
     def _whole(self, message: AnswerMessage) -> ServerAnswer:
         body = (
--- a/packages/endive_gateway/src/endive_gateway/configuration.py
+++ b/packages/endive_gateway/src/endive_gateway/configuration.py
@@ -6,7 +6,11 @@
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
-from endive_gateway.exceptions import StoreError, StoreForgottenError, UndecodableError
+from endive_gateway.exceptions import (
+    StoreError,
+    StoreOffsetOutOfRangeError,
+    UndecodableError,
+)
 from endive_gateway.following import Follower, Readers
 from endive_gateway.interfaces import Record, Topic
 from endive_gateway.loops import keep_running
@@ -127,7 +131,7 @@
             return max(CHECK_LOOK_S, left_s)
         try:
             self._read_at_once()
-        except StoreForgottenError:
+        except StoreOffsetOutOfRangeError:
             self.synced = False
             return CHECK_LOOK_S
         except StoreError as error:
--- a/packages/endive_gateway/src/endive_gateway/connections.py
+++ b/packages/endive_gateway/src/endive_gateway/connections.py
@@ -10,7 +10,11 @@
 import gevent
 from gevent import socket as gsocket
 
-from endive_gateway.exceptions import BadMessageError, BrokenError, ConnectionEndedError
+from endive_gateway.exceptions import (
+    BadMessageError,
+    ConnectionBrokenError,
+    ConnectionEndedError,
+)
 from endive_gateway.http import AnswerMessage, AnswerParser
 from endive_gateway.interfaces import AnswerFacts, Wire, header_value
 
@@ -71,7 +75,7 @@
         return False
 
     def send(self, head: bytes, body: bytes) -> None:
-        """Send a request; raises :class:`BrokenError`."""
+        """Send a request; raises :class:`ConnectionBrokenError`."""
         self.requests += 1
         self.parser.messages.clear()
         try:
@@ -81,7 +85,7 @@
                 self.sock.sendall(head)
                 self.sender = gevent.spawn(self._send_body, body)
         except OSError as error:
-            raise BrokenError(f"sending: {error}", sent=True) from None
+            raise ConnectionBrokenError(f"sending: {error}", sent=True) from None
 
     def _send_body(self, body: bytes) -> None:
         """Send a long body while the answer may already come."""
@@ -123,7 +127,7 @@
                 message.complete = True
 
     def read_all(self, message: AnswerMessage) -> bytes:
-        """Return the rest of the body; raises :class:`BrokenError`."""
+        """Return the rest of the body; raises :class:`ConnectionBrokenError`."""
         pieces = []
         while data := self.read_body(message):
             pieces.append(data)
@@ -133,7 +137,7 @@
         try:
             data = self.sock.recv(READ_BYTES)
         except OSError as error:
-            raise BrokenError(f"reading: {error}", sent=True) from None
+            raise ConnectionBrokenError(f"reading: {error}", sent=True) from None
         if not data:
             raise ConnectionEndedError("the server closed the connection", sent=True)
         try:
@@ -141,7 +145,7 @@
         except BadMessageError as error:
             self.reusable = False
             if not any(message.complete for message in self.parser.messages):
-                raise BrokenError(f"no answer: {error}", sent=True) from None
+                raise ConnectionBrokenError(f"no answer: {error}", sent=True) from None
 
     def finish(self, message: AnswerMessage) -> bool:
         """Note that an answer is whole; return whether another request may follow.
@@ -195,7 +199,7 @@
                 if message.status >= 200 and _answers(message, facts, request_id):
                     return message, facts
                 if message.ends_with_connection:
-                    raise BrokenError("another request's answer", sent=True)
+                    raise ConnectionBrokenError("another request's answer", sent=True)
                 if not message.complete:
                     break
                 if message.status >= 200:
@@ -216,10 +220,10 @@
         watch_for_silence(sock)
     except ConnectionRefusedError as error:
         sock.close()
-        raise BrokenError(str(error), sent=False, refused=True) from None
+        raise ConnectionBrokenError(str(error), sent=False, refused=True) from None
     except (OSError, ValueError) as error:
         sock.close()
-        raise BrokenError(str(error), sent=False) from None
+        raise ConnectionBrokenError(str(error), sent=False) from None
     except BaseException:
         sock.close()
         raise
@@ -283,7 +287,7 @@
         self.opened = 0
 
     def take(self, server_id: str, address: str) -> ServerConnection:
-        """Return a connection to a server; raises :class:`BrokenError`."""
+        """Return a connection to a server; raises :class:`ConnectionBrokenError`."""
         idle = self.idle[server_id]
         now = time.monotonic()
         while idle:
--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -13,8 +13,8 @@
     CloudError,
     StoreConflictError,
     StoreError,
-    StoreForgottenError,
-    StoreUncertainError,
+    StoreOffsetOutOfRangeError,
+    StoreOutcomeUnknownError,
 )
 from endive_gateway.interfaces import Topic
 from endive_gateway.ordering import Ordering
@@ -76,7 +76,7 @@
         while True:
             try:
                 self.step()
-            except StoreForgottenError as error:
+            except StoreOffsetOutOfRangeError as error:
                 self.next = error.first
             except StoreConflictError:
                 self._read_quietly()
@@ -196,7 +196,7 @@
             offset = self.context.store.append(
                 Topic.DUTIES, msgspec.json.encode(record), at=at
             )
-        except (StoreConflictError, StoreUncertainError):
+        except (StoreConflictError, StoreOutcomeUnknownError):
             self._read()
             if self.last_read == record:
                 return self.log.end - 1
@@ -236,7 +236,7 @@
     def _read_quietly(self) -> None:
         try:
             self._read()
-        except StoreForgottenError as error:
+        except StoreOffsetOutOfRangeError as error:
             self.next = error.first
         except StoreError as error:
             log_event("duties_store_failed", error=error)
--- a/packages/endive_gateway/src/endive_gateway/exceptions.py
+++ b/packages/endive_gateway/src/endive_gateway/exceptions.py
@@ -9,11 +9,11 @@
     """A call to the store that did nothing: refused, or never arrived."""
 
 
-class StoreUncertainError(StoreError):
+class StoreOutcomeUnknownError(StoreError):
     """A call without an answer: it may have been done, or may still be."""
 
 
-class StoreForgottenError(StoreError):
+class StoreOffsetOutOfRangeError(StoreError):
     """Records that are older than the store keeps; ``first`` is the oldest kept."""
 
     def __init__(self, first: int) -> None:
@@ -33,7 +33,7 @@
     """A call to the cloud that was refused or not answered."""
 
 
-class CloudEmptyError(CloudError):
+class CloudCapacityError(CloudError):
     """The cloud has no servers of the kind ordered just now."""
 
 
@@ -59,7 +59,7 @@
         self.status = status
 
 
-class BrokenError(Exception):
+class ConnectionBrokenError(Exception):
     """A connection to a server that ended or failed in the middle.
 
     Attributes
@@ -76,7 +76,7 @@
         self.refused = refused
 
 
-class ConnectionEndedError(BrokenError):
+class ConnectionEndedError(ConnectionBrokenError):
     """The server closed the connection in good order."""
 
 
--- a/packages/endive_gateway/src/endive_gateway/following.py
+++ b/packages/endive_gateway/src/endive_gateway/following.py
@@ -9,7 +9,11 @@
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
-from endive_gateway.exceptions import StoreError, StoreForgottenError, UndecodableError
+from endive_gateway.exceptions import (
+    StoreError,
+    StoreOffsetOutOfRangeError,
+    UndecodableError,
+)
 from endive_gateway.interfaces import Page, Record, ServerNews, ServerState, Topic
 from endive_gateway.servers import RETURN_GRACE_S
 from endive_gateway.tellings import pack_changes, unpack_changes
@@ -120,7 +124,7 @@
                 self._read_newest()
             else:
                 self._read_on()
-        except StoreForgottenError:
+        except StoreOffsetOutOfRangeError:
             log_event("store_forgot", topic=self.topic, next=self.next)
             self.synced = False
             return 0.0
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -109,7 +109,7 @@
         ...
 
     def order(self, holder: str, fence: int, order: Order) -> None:
-        """Order servers; raises :class:`CloudEmptyError` or :class:`CloudError`."""
+        """Order servers; raises :class:`CloudCapacityError` or :class:`CloudError`."""
         ...
 
 
--- a/packages/endive_gateway/src/endive_gateway/ordering.py
+++ b/packages/endive_gateway/src/endive_gateway/ordering.py
@@ -18,7 +18,7 @@
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
-from endive_gateway.exceptions import CloudEmptyError, CloudError
+from endive_gateway.exceptions import CloudCapacityError, CloudError
 from endive_gateway.interfaces import Order
 from endive_gateway.peers import Peers
 
@@ -259,7 +259,7 @@
         order = Order(service.name, pool.zone, servers, pool.reclaimable)
         try:
             self.context.cloud.order(node, lease.fence, order)
-        except CloudEmptyError:
+        except CloudCapacityError:
             self._note_refusal(key, refusal, now)
             return
         except CloudError as error:
--- a/packages/endive_gateway/tests/test_duties.py
+++ b/packages/endive_gateway/tests/test_duties.py
@@ -4,7 +4,7 @@
 from endive_gateway import duties as duties_module
 from endive_gateway import peers as peers_module
 from endive_gateway.duties import LEASE_S, MARGIN_S, RANK_S, Duties
-from endive_gateway.exceptions import StoreError, StoreUncertainError
+from endive_gateway.exceptions import StoreError, StoreOutcomeUnknownError
 from endive_gateway.interfaces import Topic
 from endive_gateway.ordering import Ordering
 from endive_gateway.peers import Peers
@@ -170,7 +170,7 @@
 def test_a_claim_that_was_never_done_holds_nothing(clock, store, cloud):
     def uncertain(name):
         if name == "append":
-            raise StoreUncertainError("no answer")
+            raise StoreOutcomeUnknownError("no answer")
 
     store.fault = uncertain
     node = Node("a", store, cloud)
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -7,7 +7,7 @@
 from endive_core.crashes import Crash
 from endive_gateway import peers as peers_module
 from endive_gateway.documents import unpacked
-from endive_gateway.exceptions import StoreUncertainError
+from endive_gateway.exceptions import StoreOutcomeUnknownError
 from endive_gateway.interfaces import Topic
 from endive_gateway.peers import Peers
 from endive_gateway.tellings import DECODER, Telling
@@ -259,7 +259,7 @@
 
     def lose_writes(name):
         if name == "put":
-            raise StoreUncertainError("the answer was lost")
+            raise StoreOutcomeUnknownError("the answer was lost")
 
     store.fault = lose_writes
     node.tell = lambda **_options: None
