--- a/packages/endive_gateway/src/endive_gateway/connections.py
+++ b/packages/endive_gateway/src/endive_gateway/connections.py
@@ -62,7 +62,7 @@
         self.reusable = True
         self.sender: gevent.Greenlet | None = None
 
-    def is_quiet(self, now: float) -> bool:
+    def is_reusable(self, now: float) -> bool:
         """Return whether the server has neither closed nor said anything unasked."""
         if now - self.used_at > self.idle_s * IDLE_PART:
             return False
@@ -292,7 +292,7 @@
         now = time.monotonic()
         while idle:
             connection = idle.pop()
-            if connection.is_quiet(now):
+            if connection.is_reusable(now):
                 return connection
             connection.close()
         self.opened += 1
@@ -311,7 +311,7 @@
         """Close what its server is about to close."""
         now = time.monotonic()
         for server_id, idle in list(self.idle.items()):
-            while idle and not idle[0].is_quiet(now):
+            while idle and not idle[0].is_reusable(now):
                 idle.popleft().close()
             if not idle:
                 del self.idle[server_id]
