--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -126,13 +126,19 @@
 
     def _show_state(self) -> None:
         """Let the metrics show how fresh what the store says is here."""
-        show = self.context.metrics.show
-        show("endive_configuration_version", lambda: self.context.version)
-        show("endive_configuration_proof_age_seconds", self.configuration.proof_age_s)
+        add_gauge = self.context.metrics.add_gauge
+        add_gauge("endive_configuration_version", lambda: self.context.version)
+        add_gauge(
+            "endive_configuration_proof_age_seconds", self.configuration.proof_age_s
+        )
         for follower in (self.configuration, self.servers):
             topic = follower.topic.value
-            show("endive_store_answer_age_seconds", follower.answer_age_s, topic=topic)
-            show("endive_store_read_waiting_seconds", follower.waiting_s, topic=topic)
+            add_gauge(
+                "endive_store_answer_age_seconds", follower.answer_age_s, topic=topic
+            )
+            add_gauge(
+                "endive_store_read_waiting_seconds", follower.waiting_s, topic=topic
+            )
 
     def _answer_ready(self, sock, _address) -> None:
         """Answer the balancer's question; whatever it asks for, there is one answer."""
--- a/packages/endive_gateway/tests/test_metrics.py
+++ b/packages/endive_gateway/tests/test_metrics.py
@@ -28,7 +28,7 @@
     metrics.outcomes["ok"] = 5
     metrics.retries["connect_failed"] = 2
     metrics.whole.add(0.03)
-    metrics.show("endive_store_answer_age_seconds", lambda: 2.5, topic="servers")
+    metrics.add_gauge("endive_store_answer_age_seconds", lambda: 2.5, topic="servers")
     server = MetricsServer("127.0.0.1", 0, metrics)
     server.start()
     try:
