--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -17,7 +17,7 @@
 from endive_gateway.metrics import GatewayMetrics
 from endive_gateway.placing import Placer
 from endive_gateway.servers import ServerRegistry
-from endive_gateway.working import WorkMeter
+from endive_gateway.working import WorkloadMeter
 
 START_WAIT_S = 0.5
 """Time after the start for which a request may wait until the configuration and the
@@ -69,7 +69,7 @@
         self.true_time = ClusterClock(time.monotonic, time.time)
         self.budgets: dict[str, FleetRetryBudget] = {}
         self.metrics = GatewayMetrics()
-        self.work = WorkMeter()
+        self.work = WorkloadMeter()
         self.take_units: Callable[[OrganisationLimits, float], float] = self._take_alone
         self.on_prompt: Callable[[str, float, float], None] = lambda *sent: None
         self.informed = Event()
--- a/packages/endive_gateway/src/endive_gateway/working.py
+++ b/packages/endive_gateway/src/endive_gateway/working.py
@@ -8,7 +8,7 @@
 tellings, and single requests must not."""
 
 
-class WorkMeter:
+class WorkloadMeter:
     """The work by service, in servers that this node keeps busy.
 
     A prompt to compute takes a server's whole time for a while; a running request takes
