--- a/packages/endive_gateway/src/endive_gateway/ordering.py
+++ b/packages/endive_gateway/src/endive_gateway/ordering.py
@@ -124,7 +124,7 @@
 
     def measure(self, now: float) -> None:
         """Take in the fleet's load; every node does, to know it when it takes over."""
-        total: dict[str, float] = dict(self.context.work.told)
+        total: dict[str, float] = dict(self.context.work.smoothed)
         for peer in self.peers.live():
             for service, work in peer.work.items():
                 total[service] = total.get(service, 0.0) + work
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -251,7 +251,7 @@
     def _telling(self, gone: bool) -> "Telling":
         context = self.context
         for service, parts in context.placer.held_parts().items():
-            context.work.hold(service, parts)
+            context.work.set_running(service, parts)
         now = time.monotonic()
         recent = context.placer.crashes.recent(now, limit=MOST_CRASHES)
         return Telling(
--- a/packages/endive_gateway/src/endive_gateway/working.py
+++ b/packages/endive_gateway/src/endive_gateway/working.py
@@ -19,14 +19,14 @@
         self.prompts_s: dict[str, float] = {}
         self.rates: dict[str, float] = {}
         self.running: dict[str, float] = {}
-        self.told: dict[str, float] = {}
+        self.smoothed: dict[str, float] = {}
         self.told_at = time.monotonic()
 
     def sent(self, service: str, server_s: float) -> None:
         """Count a server's time for the prompt of a request sent to it, seconds."""
         self.prompts_s[service] = self.prompts_s.get(service, 0.0) + server_s
 
-    def hold(self, service: str, slots: float) -> None:
+    def set_running(self, service: str, slots: float) -> None:
         """Take over the part of a server's slots that this node's requests hold."""
         self.running[service] = slots
 
@@ -40,5 +40,5 @@
             before = self.rates.get(service, 0.0)
             self.rates[service] = before + weight * (work - before)
         self.told_at = now
-        self.told = dict(self.rates)
-        return self.told
+        self.smoothed = dict(self.rates)
+        return self.smoothed
--- a/packages/endive_gateway/tests/test_ordering.py
+++ b/packages/endive_gateway/tests/test_ordering.py
@@ -50,7 +50,7 @@
         before = len(self.cloud.orders)
         end = self.now + seconds
         while self.now < end:
-            self.context.work.told = {"s": work}
+            self.context.work.smoothed = {"s": work}
             self.ordering.measure(self.now)
             self.ordering.step("n1", self.lease, self.now)
             self.now += 0.25
