--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -250,7 +250,7 @@
 
     def _telling(self, gone: bool) -> "Telling":
         context = self.context
-        for service, parts in context.placer.held_parts().items():
+        for service, parts in context.placer.occupied_servers().items():
             context.work.set_running(service, parts)
         now = time.monotonic()
         recent = context.placer.crashes.recent(now, limit=MOST_CRASHES)
@@ -273,7 +273,7 @@
             duty_end=self.duty_end,
             failing=context.placer.ejection.tell(now),
             age_s=now - context.started_at,
-            starting=context.placer.tell_backlogs(),
+            starting=context.placer.own_backlogs(),
             proof_age_s=self.configuration.proof_age_s() if self.configuration else -1,
         )
 
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -133,7 +133,7 @@
         view.reclaimable = entry.reclaimable
         return view
 
-    def held_parts(self) -> dict[str, float]:
+    def occupied_servers(self) -> dict[str, float]:
         """Return by service how many servers' slots this node's requests hold."""
         parts = {}
         for name, scheduler in self.schedulers.items():
@@ -142,7 +142,7 @@
             parts[name] = servers.own_in_flight / slots if slots else 0.0
         return parts
 
-    def tell_backlogs(self) -> dict[str, float]:
+    def own_backlogs(self) -> dict[str, float]:
         """Return the prompt tokens by server that this node waits for."""
         tokens = {}
         for scheduler in self.schedulers.values():
