--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -18,7 +18,7 @@
 from endive_gateway.duties import STEP_S as ORDER_S
 from endive_gateway.ordering import LEAST_NEEDED, UNMEASURED_S
 from endive_gateway.peers import TELL_PER_NODE_S, TELL_S
-from endive_gateway.placing import GATEWAY_POLICY, INTERLEAVED
+from endive_gateway.placing import GATEWAY_POLICY, INTERLEAVING_FACTOR
 
 from experiments.deployment import Deployment
 from experiments.engines import Engine, Stream
@@ -198,7 +198,7 @@
         arrival = run.arrival
         engine = self.engines[server]
         node.work_s += (
-            ticket.uncached_tokens * node.rate.seconds_per_token / INTERLEAVED
+            ticket.uncached_tokens * node.rate.seconds_per_token / INTERLEAVING_FACTOR
         )
         stream = Stream(
             arrival.parts,
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -22,7 +22,7 @@
 from endive_gateway.interfaces import ServerEntry
 from endive_gateway.servers import ServerRegistry
 
-INTERLEAVED = 1.46
+INTERLEAVING_FACTOR = 1.46
 """Time by which a prompt's token delays its first token, as a multiple of the server's
 own time for it: the server takes turns with other requests' tokens. Measured 25.8 by
 17.7, 13.3 by 9.1 and 15.8 by 10.9 microseconds on three kinds of engines."""
@@ -156,7 +156,7 @@
         scheduler = self.schedulers.get(service)
         if scheduler is None or scheduler.prefill is None:
             return 0.0
-        return tokens * scheduler.prefill.seconds_per_token / INTERLEAVED
+        return tokens * scheduler.prefill.seconds_per_token / INTERLEAVING_FACTOR
 
     # One request's way
 
