--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -21,7 +21,7 @@
 from endive_gateway.metrics import MetricsServer
 from endive_gateway.ordering import Ordering
 from endive_gateway.peers import Peers
-from endive_gateway.prompts import PromptNotes
+from endive_gateway.prompts import PromptAnnouncer
 from endive_gateway.spending import SpendingNotes
 
 SWEEP_S = 0.5
@@ -75,7 +75,7 @@
         self.spending = SpendingNotes(
             self.context, self.peers.believed, lambda: self.peers.sequence
         )
-        self.prompts = PromptNotes(
+        self.prompts = PromptAnnouncer(
             self.context.placer.backlogs, self.peers.believed, time.monotonic
         )
         self.configuration = ConfigurationFollower(self.context, self.peers)
--- a/packages/endive_gateway/src/endive_gateway/prompts.py
+++ b/packages/endive_gateway/src/endive_gateway/prompts.py
@@ -27,7 +27,7 @@
     tokens: float
 
 
-class PromptNotes:
+class PromptAnnouncer:
     """Tells of this node's long prompts, and hears of others'.
 
     Parameters
--- a/packages/endive_gateway/tests/test_prompts.py
+++ b/packages/endive_gateway/tests/test_prompts.py
@@ -1,13 +1,13 @@
 import gevent
 from endive_core.backlogs import Backlogs
-from endive_gateway.prompts import NOTED_S, PromptNotes
+from endive_gateway.prompts import NOTED_S, PromptAnnouncer
 
 RATE = 40_000.0
 PORT = 47_821
 
 
 def make_notes(others=("127.0.0.1",)):
-    return PromptNotes(Backlogs(), lambda: list(others), lambda: 10.0)
+    return PromptAnnouncer(Backlogs(), lambda: list(others), lambda: 10.0)
 
 
 def test_other_nodes_hear_of_a_long_prompt_at_once():
