--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -118,7 +118,7 @@
         self.peers.start()
         self.spending.start(place.peer_port + 1)
         self.prompts.datagrams.start(place.address, place.peer_port + 2)
-        self.context.on_prompt = self.prompts.sent
+        self.context.on_prompt = self.prompts.announce
         for loop in loops:
             gevent.spawn(keep_running, loop)
         self.readiness.start()
--- a/packages/endive_gateway/src/endive_gateway/prompts.py
+++ b/packages/endive_gateway/src/endive_gateway/prompts.py
@@ -49,7 +49,7 @@
             "prompts", msgspec.msgpack.Decoder(Prompt), self.hear
         )
 
-    def sent(self, server: str, tokens: float, server_s: float) -> None:
+    def announce(self, server: str, tokens: float, server_s: float) -> None:
         """Note that this node has sent a prompt.
 
         Parameters
