--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -156,7 +156,7 @@
     return ServerEntry(server_id, **(values | options))
 
 
-class Running:
+class RunningGateway:
     """A gateway's path with scripted servers behind it."""
 
     def __init__(self, *servers, table=None):
@@ -302,7 +302,7 @@
         ScriptedServer(next_entry, next_entry, server_id=name)
         for name in ("i-1", "i-2")
     ]
-    return Running(*servers, table=make_table(make_route(**route)))
+    return RunningGateway(*servers, table=make_table(make_route(**route)))
 
 
 def arrivals(running):
--- a/packages/endive_gateway/tests/test_forwarding.py
+++ b/packages/endive_gateway/tests/test_forwarding.py
@@ -9,7 +9,7 @@
 from endive_gateway.interfaces import ServerState
 from gateway_builders import (
     HOST,
-    Running,
+    RunningGateway,
     arrivals,
     closed_table,
     make_entry,
@@ -37,7 +37,7 @@
 
 def test_method_target_body_and_headers_arrive_unchanged():
     body = bytes(range(256)) * 300
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         got = running.call("/x/%2e%2e/y?q=a%20b&c", method="PATCH", body=body, X_A="ä")
         seen = running.servers[0].seen[0]
     assert got.status == 200
@@ -51,7 +51,7 @@
 
 
 def test_a_chunked_body_arrives_with_a_length():
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         caller = running.caller()
         caller.raw(
             b"POST /x HTTP/1.1\r\nHost: a.example\r\nId: q\r\n"
@@ -67,7 +67,7 @@
 def test_a_smuggled_request_never_reaches_a_server():
     """A caller hides a second request in the body of a first one whose length is
     ambiguous. If a server ran it, it would run under somebody else's name."""
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         caller = running.caller()
         caller.raw(
             b"POST /x HTTP/1.1\r\nHost: a.example\r\nId: q\r\nContent-Length: 4\r\n"
@@ -80,7 +80,7 @@
 
 
 def test_what_a_caller_may_not_set_is_replaced():
-    with Running(ScriptedServer(), table=closed_table()) as running:
+    with RunningGateway(ScriptedServer(), table=closed_table()) as running:
         got = running.call(Key="k", Organisation="other", Meant="i-9", Wait_Ms="5000")
         seen = running.servers[0].seen[0]
     assert got.status == 200
@@ -96,7 +96,7 @@
 )
 def test_what_the_configuration_does_not_allow_is_refused(options, status):
     table = closed_table(path_prefix="/x/")
-    with Running(ScriptedServer(), table=table) as running:
+    with RunningGateway(ScriptedServer(), table=table) as running:
         options = {"target": "/x/", **options}
         assert running.call(**options).status == status
         assert arrivals(running) == 0
@@ -105,7 +105,7 @@
 def test_without_a_configuration_nothing_is_denied_for_good():
     """A node has just started and the store is away. A 404 or 401 would tell callers
     that their request or key is wrong, and they would not come back."""
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         running.context.table = None
         got = running.call()
     assert got.status == 503
@@ -113,7 +113,7 @@
 
 
 def test_kept_connections_carry_one_request_after_another():
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         caller = running.caller()
         for _ in range(5):
             caller.send()
@@ -122,7 +122,7 @@
 
 
 def test_pipelined_requests_are_answered_in_order():
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         caller = running.caller()
         for number in range(3):
             caller.send(request_id=f"p{number}")
@@ -155,7 +155,7 @@
 
 
 def test_not_run_is_said_with_a_time_to_come_back():
-    with Running(
+    with RunningGateway(
         ScriptedServer(full), table=make_table(make_route(**UNSAFE))
     ) as running:
         got = running.call(method="POST", body=b"{}")
@@ -187,7 +187,7 @@
     servers = [ScriptedServer(server_id=f"i-{number}") for number in range(3)]
     servers[1].script = [failing] * 90
     got = []
-    with Running(*servers, table=make_table(make_route(**UNSAFE))) as running:
+    with RunningGateway(*servers, table=make_table(make_route(**UNSAFE))) as running:
         for _ in range(90):
             got.append(running.call(method="POST", body=b"{}").status)
             gevent.sleep(0.02)
@@ -225,7 +225,7 @@
     ],
 )
 def test_a_success_that_is_not_the_servers_whole_answer_never_passes(garbled):
-    with Running(
+    with RunningGateway(
         ScriptedServer(garbled), table=make_table(make_route(**UNSAFE, timeout_s=0.5))
     ) as running:
         got = running.call(method="POST", body=b"{}")
@@ -234,7 +234,7 @@
 
 def test_an_answer_that_ends_with_its_connection_is_whole():
     data = b"HTTP/1.1 200 OK\r\nId: %ID\r\nSigned: y\r\n\r\nabc"
-    with Running(ScriptedServer(raw(data, close=True))) as running:
+    with RunningGateway(ScriptedServer(raw(data, close=True))) as running:
         got = running.call()
     assert (got.status, got.body, got.whole) == (200, b"abc", True)
 
@@ -246,7 +246,7 @@
     def twice(sock, seen):
         sock.sendall(encoded(seen) + encoded(seen, body=b"again"))
 
-    with Running(ScriptedServer(twice, answer(body=b"second"))) as running:
+    with RunningGateway(ScriptedServer(twice, answer(body=b"second"))) as running:
         caller = running.caller()
         caller.send()
         assert caller.receive().body == b"fine"
@@ -260,7 +260,7 @@
         gevent.sleep(0.02)
         sock.sendall(encoded(seen, body=b"mine"))
 
-    with Running(ScriptedServer(late)) as running:
+    with RunningGateway(ScriptedServer(late)) as running:
         assert running.call().body == b"mine"
 
 
@@ -268,7 +268,7 @@
     """A server rejects a long request before it has read it, keeps the connection and
     reads on. The next request's head would be read as the rest of that body."""
 
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         server = running.servers[0]
 
         def early(sock, seen):
@@ -282,7 +282,7 @@
 
 def test_a_caller_that_leaves_ends_its_request_at_the_server():
     """Nobody waits for the answer any more; a server that works on holds a slot."""
-    with Running(ScriptedServer(silent)) as running:
+    with RunningGateway(ScriptedServer(silent)) as running:
         caller = running.caller()
         caller.send()
         gevent.sleep(0.1)
@@ -304,7 +304,7 @@
 
 
 def test_servers_are_given_no_more_time_than_is_left():
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         running.call(Wait_Ms="500")
         running.call(Wait_Ms="50000")
         left = [int(seen.headers["wait-ms"]) for seen in running.servers[0].seen]
@@ -315,7 +315,7 @@
 def test_a_request_without_time_for_an_answer_reaches_no_server():
     """A caller waits for 60 ms longer where answers take a second. Sent for the sake of
     having been sent, the request would take a place at a server and end in nothing."""
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         got = running.call(Wait_Ms="60")
         assert arrivals(running) == 0
     assert got.status == 503
@@ -341,7 +341,7 @@
     table = make_table(
         make_route(public=False), organisations={"o": terms}, keys={"k": "o"}
     )
-    with Running(ScriptedServer(), table=table) as running:
+    with RunningGateway(ScriptedServer(), table=table) as running:
         got = [running.call(Key="k") for _ in range(3)]
         assert arrivals(running) == sum(answer.status == 200 for answer in got)
     assert got[-1].status == 429
@@ -357,7 +357,9 @@
 def test_a_request_that_crashes_servers_is_refused_from_the_second_crash_on():
     """One request crashes each server that runs it, and its caller sends it again. Sent
     on and on, it would take down the servers one by one with all streams on them."""
-    with Running(*(ScriptedServer(server_id=f"i-{n}") for n in range(4))) as running:
+    with RunningGateway(
+        *(ScriptedServer(server_id=f"i-{n}") for n in range(4))
+    ) as running:
         for server in running.servers:
 
             def fall_over(sock, seen, server=server):
@@ -375,7 +377,7 @@
 
 
 def test_no_server_is_told_at_once():
-    with Running(table=make_table()) as running:
+    with RunningGateway(table=make_table()) as running:
         started = time.monotonic()
         got = running.call()
     assert got.status == 503
--- a/packages/endive_gateway/tests/test_streams.py
+++ b/packages/endive_gateway/tests/test_streams.py
@@ -8,7 +8,7 @@
 )
 from gateway_builders import (
     SERVICE,
-    Running,
+    RunningGateway,
     arrivals,
     make_route,
     make_table,
@@ -29,7 +29,7 @@
 def test_events_pass_as_they_come():
     route = make_route(**STREAM)
     server = ScriptedServer(events(1, 5, gap_s=0.1))
-    with Running(server, table=make_table(route)) as running:
+    with RunningGateway(server, table=make_table(route)) as running:
         caller = running.caller()
         caller.send()
         started = time.monotonic()
@@ -73,7 +73,7 @@
 
 def test_a_callers_own_place_in_a_stream_is_passed_on():
     server = ScriptedServer(events(8, 9))
-    with Running(server, table=make_table(make_route(**RESUMABLE))) as running:
+    with RunningGateway(server, table=make_table(make_route(**RESUMABLE))) as running:
         got = running.call(After="7")
     assert got.body == event(8) + event(9)
     assert server.seen[0].headers["after"] == "7"
@@ -91,7 +91,7 @@
         gevent.sleep(0.2)
         return slow(sock, seen)
 
-    with Running(ScriptedServer(begin_late, ok), table=table) as running:
+    with RunningGateway(ScriptedServer(begin_late, ok), table=table) as running:
         first, second = running.caller(), running.caller()
         first.send(method="POST", body=b"a", tokens="90000,5")
         gevent.sleep(0.05)
