--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -310,6 +310,6 @@
     return sum(len(server.seen) for server in running.servers)
 
 
-def fixed_time(context, wall):
+def freeze_time(context, wall):
     """Let the context's true time stand at `wall`."""
     context.true_time = ClusterClock(lambda: 0.0, lambda: wall)
--- a/packages/endive_gateway/tests/test_duties.py
+++ b/packages/endive_gateway/tests/test_duties.py
@@ -8,7 +8,7 @@
 from endive_gateway.interfaces import Topic
 from endive_gateway.ordering import Ordering
 from endive_gateway.peers import Peers
-from gateway_builders import fixed_time, make_context, make_table
+from gateway_builders import freeze_time, make_context, make_table
 from store_builders import MemoryStore, RecordingCloud, store_down
 
 WALL = 1_000_000.0
@@ -47,7 +47,7 @@
         self.at(WALL)
 
     def at(self, wall):
-        fixed_time(self.context, wall)
+        freeze_time(self.context, wall)
 
     def step(self):
         try:
