--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -14,9 +14,9 @@
 from endive_gateway.exceptions import AttemptError, ConnectionBrokenError
 from endive_gateway.http import AnswerMessage, encode_head, end_to_end
 from endive_gateway.interfaces import (
-    AnswerFacts,
-    RequestFacts,
-    Sending,
+    ForwardingMetadata,
+    RequestMetadata,
+    ResponseMetadata,
     ServerAnswer,
     header_value,
 )
@@ -38,7 +38,7 @@
 
     context: Context
     exchange: Exchange
-    facts: RequestFacts
+    facts: RequestMetadata
     progress: Progress
     route: Route
     engine: Engine | None
@@ -118,7 +118,7 @@
 
     def _send(self) -> None:
         message = self.request.exchange.message
-        sending = Sending(
+        sending = ForwardingMetadata(
             server_id=self.view.id,
             organisation=self.request.organisation,
             left_s=max(0.001, self.request.left_s()),
@@ -136,7 +136,7 @@
         line = b"%s %s HTTP/1.1" % (message.method, message.target)
         self.connection.send(encode_head(line, headers), body)
 
-    def _judge(self, message: AnswerMessage, facts: AnswerFacts) -> None:
+    def _judge(self, message: AnswerMessage, facts: ResponseMetadata) -> None:
         """Pass a success on; raise AttemptError for all else."""
         view = self.view
         if facts.running is not None:
@@ -174,7 +174,7 @@
             answer=answer,
         )
 
-    def _check_success(self, message: AnswerMessage, facts: AnswerFacts) -> None:
+    def _check_success(self, message: AnswerMessage, facts: ResponseMetadata) -> None:
         """Refuse a success that is not the server's own."""
         encoding = header_value(message.headers, b"content-encoding").lower()
         if not facts.sealed or encoding not in (b"", b"identity"):
--- a/packages/endive_gateway/src/endive_gateway/connections.py
+++ b/packages/endive_gateway/src/endive_gateway/connections.py
@@ -16,7 +16,7 @@
     ConnectionEndedError,
 )
 from endive_gateway.http import AnswerMessage, AnswerParser
-from endive_gateway.interfaces import AnswerFacts, Wire, header_value
+from endive_gateway.interfaces import ResponseMetadata, Wire, header_value
 
 CONNECT_TIMEOUT_S = 0.6
 """Longest time to open a connection, seconds. It takes a few milliseconds within a
@@ -181,7 +181,7 @@
         """Connect to ``IP:port``; raises :class:`BrokenError`."""
         return cls(connect(address), wire)
 
-    def read_head(self, request_id: str) -> tuple[AnswerMessage, AnswerFacts]:
+    def read_head(self, request_id: str) -> tuple[AnswerMessage, ResponseMetadata]:
         """Return the answer to `request_id`, as soon as its head is there.
 
         A server may answer an earlier request once more, late. The id tells such an
@@ -258,7 +258,7 @@
     return True
 
 
-def _answers(message: AnswerMessage, facts: AnswerFacts, request_id: str) -> bool:
+def _answers(message: AnswerMessage, facts: ResponseMetadata, request_id: str) -> bool:
     if facts.request_id:
         return facts.request_id == request_id
     # A server that refuses before it has read the request may not name it; a success
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -22,7 +22,7 @@
     OutOfTimeError,
 )
 from endive_gateway.http import host_name
-from endive_gateway.interfaces import RequestFacts, ServerAnswer, header_value
+from endive_gateway.interfaces import RequestMetadata, ServerAnswer, header_value
 from endive_gateway.progress import Progress
 from endive_gateway.statuses import NOT_RUN_STATUSES, make_true
 
@@ -67,7 +67,7 @@
     def __init__(self, context: Context, exchange: Exchange) -> None:
         self.context = context
         self.exchange = exchange
-        self.facts = RequestFacts("")
+        self.facts = RequestMetadata("")
         self.progress = Progress(exchange.received_at)
         self.route: Route | None = None
         self.terms: OrganisationLimits | None = None
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -180,7 +180,7 @@
 
 
 @dataclass(slots=True)
-class RequestFacts:
+class RequestMetadata:
     """What a caller's headers say of its request.
 
     Attributes
@@ -204,7 +204,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
+class ForwardingMetadata:
     """What this node adds when it sends a request to a server.
 
     Attributes
@@ -230,7 +230,7 @@
 
 
 @dataclass(slots=True)
-class AnswerFacts:
+class ResponseMetadata:
     """What a server's headers say of its answer.
 
     Attributes
@@ -265,12 +265,12 @@
 class Wire(Protocol):
     """Translates headers between the platform's names and ours."""
 
-    def decode_request(self, headers: Headers) -> RequestFacts:
+    def decode_request(self, headers: Headers) -> RequestMetadata:
         """Return what a caller's headers say; raises :class:`BadHeaderError`."""
         ...
 
     def encode_request(
-        self, headers: Headers, facts: RequestFacts, sending: Sending
+        self, headers: Headers, facts: RequestMetadata, sending: ForwardingMetadata
     ) -> Headers:
         """Return the caller's headers, cleaned, with what this node adds."""
         ...
@@ -279,11 +279,11 @@
         """Return the lower-case names that a caller can't keep from the servers."""
         ...
 
-    def decode_answer(self, headers: Headers) -> AnswerFacts:
+    def decode_answer(self, headers: Headers) -> ResponseMetadata:
         """Return what a server's headers say."""
         ...
 
-    def own_answer(self, facts: RequestFacts) -> Headers:
+    def own_answer(self, facts: RequestMetadata) -> Headers:
         """Return the headers of an answer that this node makes itself."""
         ...
 
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -20,12 +20,12 @@
 )
 from endive_gateway.forwarding import Forwarder
 from endive_gateway.interfaces import (
-    AnswerFacts,
     Bounds,
     GatewaySettings,
     Place,
     PromptPart,
-    RequestFacts,
+    RequestMetadata,
+    ResponseMetadata,
     ServerEntry,
     header_value,
 )
@@ -42,7 +42,7 @@
     """Headers with names of the tests' own."""
 
     def decode_request(self, headers):
-        facts = RequestFacts(_text(headers, b"id"))
+        facts = RequestMetadata(_text(headers, b"id"))
         if not facts.id:
             raise BadHeaderError("Id is missing")
         budget = _text(headers, b"wait-ms")
@@ -72,7 +72,7 @@
         return frozenset({b"id"})
 
     def decode_answer(self, headers):
-        return AnswerFacts(
+        return ResponseMetadata(
             request_id=_text(headers, b"id"),
             sealed=bool(header_value(headers, b"signed")),
             not_run=bool(header_value(headers, b"refused")),
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,6 +1,6 @@
 import pytest
 from endive_gateway.exceptions import BadHeaderError
-from endive_gateway.interfaces import RequestFacts, Sending
+from endive_gateway.interfaces import ForwardingMetadata, RequestMetadata
 from endive_platform.headers import decode_answer, decode_request, encode_request
 
 
@@ -77,8 +77,8 @@
                 Request_Priority="0",
                 X_Own="kept",
             ),
-            RequestFacts("r1", prompt_tokens=5),
-            Sending("i-1", "o", 0.25, urgency=3),
+            RequestMetadata("r1", prompt_tokens=5),
+            ForwardingMetadata("i-1", "o", 0.25, urgency=3),
         )
     )
     assert sent == {
@@ -92,8 +92,8 @@
 
 
 def test_a_resumed_run_names_its_place_and_copy():
-    sending = Sending("i-1", "", 1.0, last_event="12", copy="1.2.3.4:5/h")
-    sent = dict(encode_request(headers(), RequestFacts("r1"), sending))
+    sending = ForwardingMetadata("i-1", "", 1.0, last_event="12", copy="1.2.3.4:5/h")
+    sent = dict(encode_request(headers(), RequestMetadata("r1"), sending))
     assert sent[b"Last-Event-Id"] == b"12"
     assert sent[b"Kv-From"] == b"1.2.3.4:5/h"
     assert b"Tenant" not in sent
