--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -38,7 +38,7 @@
 
     context: Context
     exchange: Exchange
-    facts: RequestMetadata
+    metadata: RequestMetadata
     progress: Progress
     route: Route
     engine: Engine | None
@@ -105,8 +105,8 @@
         self.request.sent_at = self.context.true_time.now()
         try:
             self._send()
-            message, facts = self.connection.read_head(self.request.facts.id)
-            self._judge(message, facts)
+            message, metadata = self.connection.read_head(self.request.metadata.id)
+            self._judge(message, metadata)
         except ConnectionBrokenError as error:
             self.request.count_plain_loss()
             raise AttemptError(
@@ -123,11 +123,12 @@
             organisation=self.request.organisation,
             left_s=max(0.001, self.request.left_s()),
             urgency=self.request.urgency,
-            last_event=self.request.splitter.last_id or self.request.facts.last_event,
+            last_event=self.request.splitter.last_id
+            or self.request.metadata.last_event,
         )
         headers = self.context.wire.encode_request(
             end_to_end(message.headers, self.context.wire.kept()),
-            self.request.facts,
+            self.request.metadata,
             sending,
         )
         body = self.request.exchange.body
@@ -136,11 +137,11 @@
         line = b"%s %s HTTP/1.1" % (message.method, message.target)
         self.connection.send(encode_head(line, headers), body)
 
-    def _judge(self, message: AnswerMessage, facts: ResponseMetadata) -> None:
+    def _judge(self, message: AnswerMessage, metadata: ResponseMetadata) -> None:
         """Pass a success on; raise AttemptError for all else."""
         view = self.view
-        if facts.running is not None:
-            self.context.placer.report(view.id, facts.running, facts.waiting or 0)
+        if metadata.running is not None:
+            self.context.placer.report(view.id, metadata.running, metadata.waiting or 0)
         if message.status == 421:
             self.context.registry.contradict(view.id)
             raise AttemptError(
@@ -149,7 +150,7 @@
                 started=False,
                 counts=False,
             )
-        if facts.not_run:
+        if metadata.not_run:
             self.connection.read_all(message)
             self._keep_connection(message)
             raise AttemptError(
@@ -158,7 +159,7 @@
                 started=False,
             )
         if 200 <= message.status < 300:
-            self._check_success(message, facts)
+            self._check_success(message, metadata)
             if self.request.route.kind is RouteKind.STREAM:
                 self._pass_stream(message)
             else:
@@ -174,10 +175,12 @@
             answer=answer,
         )
 
-    def _check_success(self, message: AnswerMessage, facts: ResponseMetadata) -> None:
+    def _check_success(
+        self, message: AnswerMessage, metadata: ResponseMetadata
+    ) -> None:
         """Refuse a success that is not the server's own."""
         encoding = header_value(message.headers, b"content-encoding").lower()
-        if not facts.sealed or encoding not in (b"", b"identity"):
+        if not metadata.sealed or encoding not in (b"", b"identity"):
             raise ConnectionBrokenError("an answer without a signature", sent=True)
 
     def _whole(self, message: AnswerMessage) -> ServerAnswer:
@@ -231,7 +234,7 @@
 
     def _tokens(self) -> int:
         if self.request.engine is None or not self.request.splitter.count:
-            return max(1, self.request.facts.max_tokens or 1)
+            return max(1, self.request.metadata.max_tokens or 1)
         return self.request.splitter.count * self.request.engine.tokens_per_event
 
     def _keep_connection(self, message: AnswerMessage) -> None:
--- a/packages/endive_gateway/src/endive_gateway/connections.py
+++ b/packages/endive_gateway/src/endive_gateway/connections.py
@@ -195,9 +195,9 @@
         while True:
             while self.parser.messages and self.parser.messages[0].head_done:
                 message = self.parser.messages[0]
-                facts = self.wire.decode_answer(message.headers)
-                if message.status >= 200 and _answers(message, facts, request_id):
-                    return message, facts
+                metadata = self.wire.decode_answer(message.headers)
+                if message.status >= 200 and _answers(message, metadata, request_id):
+                    return message, metadata
                 if message.ends_with_connection:
                     raise ConnectionBrokenError("another request's answer", sent=True)
                 if not message.complete:
@@ -258,12 +258,14 @@
     return True
 
 
-def _answers(message: AnswerMessage, facts: ResponseMetadata, request_id: str) -> bool:
-    if facts.request_id:
-        return facts.request_id == request_id
+def _answers(
+    message: AnswerMessage, metadata: ResponseMetadata, request_id: str
+) -> bool:
+    if metadata.request_id:
+        return metadata.request_id == request_id
     # A server that refuses before it has read the request may not name it; a success
     # without a name could be anybody's.
-    return message.status >= 400 and facts.not_run
+    return message.status >= 400 and metadata.not_run
 
 
 def _idle_timeout(message: AnswerMessage) -> float | None:
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -67,7 +67,7 @@
     def __init__(self, context: Context, exchange: Exchange) -> None:
         self.context = context
         self.exchange = exchange
-        self.facts = RequestMetadata("")
+        self.metadata = RequestMetadata("")
         self.progress = Progress(exchange.received_at)
         self.route: Route | None = None
         self.terms: OrganisationLimits | None = None
@@ -103,7 +103,7 @@
             self.outcome = "caller_gone"
             raise
         except Exception as error:
-            log_failure("request_failed", request=self.facts.id, error=repr(error))
+            log_failure("request_failed", request=self.metadata.id, error=repr(error))
             self.may_have_run |= self.in_flight
             self._refuse(EndiveError(ErrorKind.INTERNAL, repr(error)))
         finally:
@@ -116,7 +116,7 @@
         context = self.context
         message = self.exchange.message
         try:
-            self.facts = context.wire.decode_request(message.headers)
+            self.metadata = context.wire.decode_request(message.headers)
         except BadHeaderError as error:
             raise EndiveError(ErrorKind.INVALID_FIELD, str(error)) from None
         context.await_information()
@@ -130,17 +130,17 @@
         self.route = table.match(host_name(host), path)
         if self.route is None:
             raise EndiveError(ErrorKind.NOT_FOUND, "no route")
-        if not table.allows(self.route, self.facts.key):
+        if not table.allows(self.route, self.metadata.key):
             raise EndiveError(ErrorKind.UNAUTHENTICATED, "unknown key")
-        self.organisation = table.keys.get(self.facts.key, "")
+        self.organisation = table.keys.get(self.metadata.key, "")
         if table.organisations is not None:
             self.terms = table.organisations.get(self.organisation)
 
     def left_s(self) -> float:
         """Return the time that the request has left, seconds."""
         budget = self.route.timeout_s
-        if self.facts.budget_s is not None:
-            budget = min(budget, self.facts.budget_s)
+        if self.metadata.budget_s is not None:
+            budget = min(budget, self.metadata.budget_s)
         return budget - (self.now - self.exchange.received_at)
 
     def _check_time(self) -> None:
@@ -167,27 +167,27 @@
         self.ticket = self.context.placer.admit(service, call)
 
     def _call(self) -> Call:
-        facts, route = self.facts, self.route
+        metadata, route = self.metadata, self.route
         priority = route.priority
         if self.terms is not None and self.terms.priority is not None:
             priority = self.terms.priority
         self.usual_urgency = min(LAST_URGENCY, priority)
         blocks, ends = part_blocks(
-            facts.model, [(part.id, part.tokens) for part in facts.parts]
+            metadata.model, [(part.id, part.tokens) for part in metadata.parts]
         )
         now = self.now
-        self.progress.prompt_tokens = facts.prompt_tokens or 0
+        self.progress.prompt_tokens = metadata.prompt_tokens or 0
         spent = now - self.exchange.received_at
         content = b"\0".join(
-            (self.exchange.message.target, facts.key.encode(), self.exchange.body)
+            (self.exchange.message.target, metadata.key.encode(), self.exchange.body)
         )
         return Call(
-            request_id=facts.id,
+            request_id=metadata.id,
             organisation=self.organisation,
             deployment=route.name,
             level=-priority,
-            prompt_tokens=(facts.prompt_tokens or 0) if route.engine else 0,
-            max_tokens=max(1, facts.max_tokens or 1) if route.engine else 1,
+            prompt_tokens=(metadata.prompt_tokens or 0) if route.engine else 0,
+            max_tokens=max(1, metadata.max_tokens or 1) if route.engine else 1,
             blocks=blocks if route.engine else (),
             block_ends=ends if route.engine else (),
             target_s=max(0.01, route.target_s - spent),
@@ -200,12 +200,12 @@
         terms = self.terms
         if terms is None or terms.rate <= 0:
             return
-        units = terms.units(self.facts.prompt_tokens, self.facts.max_tokens)
+        units = terms.units(self.metadata.prompt_tokens, self.metadata.max_tokens)
         wait = self.context.take_units(terms, units)
         if wait > 0:
             log_event(
                 "limit_exceeded",
-                request=self.facts.id,
+                request=self.metadata.id,
                 organisation=terms.name,
                 units=units,
                 rate=terms.rate,
@@ -279,7 +279,7 @@
         self.context.metrics.retries[str(error.reason)] += 1
         log_event(
             "attempt_failed",
-            request=self.facts.id,
+            request=self.metadata.id,
             server=self.servers[-1] if self.servers else "",
             attempt=self.ticket.attempt,
             reason=error.reason,
@@ -357,7 +357,7 @@
         status = make_true(error, self.may_have_run)
         if self.units and not self.may_have_run:
             self.context.limits.refund(self.terms.name, self.units)
-        self.exchange.refuse(error, status, self.context.wire.own_answer(self.facts))
+        self.exchange.refuse(error, status, self.context.wire.own_answer(self.metadata))
 
     def _release(self) -> None:
         if self.ticket is not None:
@@ -367,7 +367,7 @@
         self._count_outcome()
         log_event(
             "request",
-            request=self.facts.id,
+            request=self.metadata.id,
             route=self.route.name if self.route else "",
             organisation=self.organisation,
             outcome=self.outcome or "failed",
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -270,7 +270,7 @@
         ...
 
     def encode_request(
-        self, headers: Headers, facts: RequestMetadata, sending: ForwardingMetadata
+        self, headers: Headers, metadata: RequestMetadata, sending: ForwardingMetadata
     ) -> Headers:
         """Return the caller's headers, cleaned, with what this node adds."""
         ...
@@ -283,7 +283,7 @@
         """Return what a server's headers say."""
         ...
 
-    def own_answer(self, facts: RequestMetadata) -> Headers:
+    def own_answer(self, metadata: RequestMetadata) -> Headers:
         """Return the headers of an answer that this node makes itself."""
         ...
 
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -42,22 +42,24 @@
     """Headers with names of the tests' own."""
 
     def decode_request(self, headers):
-        facts = RequestMetadata(_text(headers, b"id"))
-        if not facts.id:
+        metadata = RequestMetadata(_text(headers, b"id"))
+        if not metadata.id:
             raise BadHeaderError("Id is missing")
         budget = _text(headers, b"wait-ms")
-        facts.budget_s = float(budget) / 1000 if budget else None
-        facts.key = _text(headers, b"key")
-        facts.last_event = _text(headers, b"after")
+        metadata.budget_s = float(budget) / 1000 if budget else None
+        metadata.key = _text(headers, b"key")
+        metadata.last_event = _text(headers, b"after")
         tokens = _text(headers, b"tokens")
         if tokens:
-            facts.prompt_tokens, facts.max_tokens = map(int, tokens.split(","))
+            metadata.prompt_tokens, metadata.max_tokens = map(int, tokens.split(","))
         parts = _text(headers, b"parts")
         if parts:
-            facts.parts = tuple(PromptPart(int(part), 100) for part in parts.split(","))
-        return facts
+            metadata.parts = tuple(
+                PromptPart(int(part), 100) for part in parts.split(",")
+            )
+        return metadata
 
-    def encode_request(self, headers, facts, sending):
+    def encode_request(self, headers, metadata, sending):
         ours = (b"wait-ms", b"key", b"after", b"meant", b"organisation")
         sent = [(n, v) for n, v in headers if n.lower() not in ours]
         sent.append((b"Wait-Ms", b"%d" % (sending.left_s * 1000)))
@@ -78,8 +80,8 @@
             not_run=bool(header_value(headers, b"refused")),
         )
 
-    def own_answer(self, facts):
-        return [(b"Id", facts.id.encode())] if facts.id else []
+    def own_answer(self, metadata):
+        return [(b"Id", metadata.id.encode())] if metadata.id else []
 
     def decode_configuration(self, value):
         try:
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -10,7 +10,7 @@
 
 
 def test_a_request_is_decoded_whole():
-    facts = decode_request(
+    metadata = decode_request(
         headers(
             Deadline_Ms="1500",
             Authorization="Bearer k",
@@ -20,15 +20,15 @@
             Last_Event_Id="7",
         )
     )
-    assert facts.id == "r1"
-    assert facts.budget_s == 1.5
-    assert facts.key == "k"
-    assert (facts.prompt_tokens, facts.max_tokens) == (1460, 80)
-    assert [(p.id, p.tokens) for p in facts.parts] == [
+    assert metadata.id == "r1"
+    assert metadata.budget_s == 1.5
+    assert metadata.key == "k"
+    assert (metadata.prompt_tokens, metadata.max_tokens) == (1460, 80)
+    assert [(p.id, p.tokens) for p in metadata.parts] == [
         (0x5C1E07A2, 800),
         (0x91BD3F06, 410),
     ]
-    assert facts.last_event == "7"
+    assert metadata.last_event == "7"
 
 
 @pytest.mark.parametrize(
@@ -100,14 +100,14 @@
 
 
 def test_an_answer_is_decoded_whole():
-    facts = decode_answer(
+    metadata = decode_answer(
         headers(Response_Seal="3e", Not_Run="1", Server_Load="3,1,8", Instance_Id="i-1")
     )
-    assert facts.request_id == "r1"
-    assert facts.sealed
-    assert facts.not_run
-    assert (facts.running, facts.waiting, facts.slots) == (3, 1, 8)
-    assert facts.server_id == "i-1"
+    assert metadata.request_id == "r1"
+    assert metadata.sealed
+    assert metadata.not_run
+    assert (metadata.running, metadata.waiting, metadata.slots) == (3, 1, 8)
+    assert metadata.server_id == "i-1"
 
 
 @pytest.mark.parametrize("load", ["", "3", "3,1", "a,b,c", "3,1,8,9", "-1,0,8"])
