--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -118,7 +118,7 @@
 
     def _send(self) -> None:
         message = self.request.exchange.message
-        sending = ForwardingMetadata(
+        forwarding = ForwardingMetadata(
             server_id=self.view.id,
             organisation=self.request.organisation,
             left_s=max(0.001, self.request.left_s()),
@@ -129,7 +129,7 @@
         headers = self.context.wire.encode_request(
             end_to_end(message.headers, self.context.wire.kept()),
             self.request.metadata,
-            sending,
+            forwarding,
         )
         body = self.request.exchange.body
         if message.has_length or body:
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -270,7 +270,10 @@
         ...
 
     def encode_request(
-        self, headers: Headers, metadata: RequestMetadata, sending: ForwardingMetadata
+        self,
+        headers: Headers,
+        metadata: RequestMetadata,
+        forwarding: ForwardingMetadata,
     ) -> Headers:
         """Return the caller's headers, cleaned, with what this node adds."""
         ...
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -59,15 +59,15 @@
             )
         return metadata
 
-    def encode_request(self, headers, metadata, sending):
+    def encode_request(self, headers, metadata, forwarding):
         ours = (b"wait-ms", b"key", b"after", b"meant", b"organisation")
         sent = [(n, v) for n, v in headers if n.lower() not in ours]
-        sent.append((b"Wait-Ms", b"%d" % (sending.left_s * 1000)))
-        sent.append((b"Meant", sending.server_id.encode()))
-        sent.append((b"Organisation", sending.organisation.encode()))
-        sent.append((b"Urgency", b"%d" % sending.urgency))
-        if sending.last_event:
-            sent.append((b"After", sending.last_event.encode()))
+        sent.append((b"Wait-Ms", b"%d" % (forwarding.left_s * 1000)))
+        sent.append((b"Meant", forwarding.server_id.encode()))
+        sent.append((b"Organisation", forwarding.organisation.encode()))
+        sent.append((b"Urgency", b"%d" % forwarding.urgency))
+        if forwarding.last_event:
+            sent.append((b"After", forwarding.last_event.encode()))
         return sent
 
     def kept(self):
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -92,8 +92,8 @@
 
 
 def test_a_resumed_run_names_its_place_and_copy():
-    sending = ForwardingMetadata("i-1", "", 1.0, last_event="12", copy="1.2.3.4:5/h")
-    sent = dict(encode_request(headers(), RequestMetadata("r1"), sending))
+    forwarding = ForwardingMetadata("i-1", "", 1.0, last_event="12", copy="1.2.3.4:5/h")
+    sent = dict(encode_request(headers(), RequestMetadata("r1"), forwarding))
     assert sent[b"Last-Event-Id"] == b"12"
     assert sent[b"Kv-From"] == b"1.2.3.4:5/h"
     assert b"Tenant" not in sent
