--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -17,7 +17,7 @@
     ForwardingMetadata,
     RequestMetadata,
     ResponseMetadata,
-    ServerAnswer,
+    ServerResponse,
     header_value,
 )
 from endive_gateway.progress import Progress
@@ -127,7 +127,7 @@
             or self.request.metadata.last_event,
         )
         headers = self.context.wire.encode_request(
-            end_to_end(message.headers, self.context.wire.kept()),
+            end_to_end(message.headers, self.context.wire.end_to_end_headers()),
             self.request.metadata,
             forwarding,
         )
@@ -183,13 +183,13 @@
         if not metadata.sealed or encoding not in (b"", b"identity"):
             raise ConnectionBrokenError("an answer without a signature", sent=True)
 
-    def _whole(self, message: AnswerMessage) -> ServerAnswer:
+    def _whole(self, message: AnswerMessage) -> ServerResponse:
         body = (
             self.connection.read_all(message)
             if self.request.exchange.message.method != b"HEAD"
             else b""
         )
-        return ServerAnswer(
+        return ServerResponse(
             message.status, message.reason, end_to_end(message.headers), body
         )
 
--- a/packages/endive_gateway/src/endive_gateway/connections.py
+++ b/packages/endive_gateway/src/endive_gateway/connections.py
@@ -195,7 +195,7 @@
         while True:
             while self.parser.messages and self.parser.messages[0].head_done:
                 message = self.parser.messages[0]
-                metadata = self.wire.decode_answer(message.headers)
+                metadata = self.wire.decode_response(message.headers)
                 if message.status >= 200 and _answers(message, metadata, request_id):
                     return message, metadata
                 if message.ends_with_connection:
--- a/packages/endive_gateway/src/endive_gateway/exceptions.py
+++ b/packages/endive_gateway/src/endive_gateway/exceptions.py
@@ -2,7 +2,7 @@
 
 from endive_core.exceptions import EndiveError, ErrorKind, RetryReason
 
-from endive_gateway.interfaces import ServerAnswer
+from endive_gateway.interfaces import ServerResponse
 
 
 class StoreError(Exception):
@@ -112,7 +112,7 @@
         *,
         started: bool,
         counts: bool = True,
-        answer: ServerAnswer | None = None,
+        answer: ServerResponse | None = None,
     ) -> None:
         super().__init__(message)
         self.reason = reason
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -22,7 +22,7 @@
     OutOfTimeError,
 )
 from endive_gateway.http import host_name
-from endive_gateway.interfaces import RequestMetadata, ServerAnswer, header_value
+from endive_gateway.interfaces import RequestMetadata, ServerResponse, header_value
 from endive_gateway.progress import Progress
 from endive_gateway.statuses import NOT_RUN_STATUSES, make_true
 
@@ -332,7 +332,7 @@
         if not budget.spend(self.now, nodes=self.context.nodes):
             raise EndiveError(ErrorKind.RETRY_BUDGET_SPENT, "too many repeats")
 
-    def _pass_failure(self, answer: ServerAnswer) -> None:
+    def _pass_failure(self, answer: ServerResponse) -> None:
         """Pass on a server's own failure, unless it would promise too much."""
         self.outcome = f"server_{answer.status}"
         if answer.status in NOT_RUN_STATUSES:
@@ -357,7 +357,9 @@
         status = make_true(error, self.may_have_run)
         if self.units and not self.may_have_run:
             self.context.limits.refund(self.terms.name, self.units)
-        self.exchange.refuse(error, status, self.context.wire.own_answer(self.metadata))
+        self.exchange.refuse(
+            error, status, self.context.wire.own_response_headers(self.metadata)
+        )
 
     def _release(self) -> None:
         if self.ticket is not None:
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -253,7 +253,7 @@
 
 
 @dataclass(frozen=True)
-class ServerAnswer:
+class ServerResponse:
     """A whole answer that a server gave."""
 
     status: int
@@ -278,15 +278,15 @@
         """Return the caller's headers, cleaned, with what this node adds."""
         ...
 
-    def kept(self) -> frozenset[bytes]:
+    def end_to_end_headers(self) -> frozenset[bytes]:
         """Return the lower-case names that a caller can't keep from the servers."""
         ...
 
-    def decode_answer(self, headers: Headers) -> ResponseMetadata:
+    def decode_response(self, headers: Headers) -> ResponseMetadata:
         """Return what a server's headers say."""
         ...
 
-    def own_answer(self, metadata: RequestMetadata) -> Headers:
+    def own_response_headers(self, metadata: RequestMetadata) -> Headers:
         """Return the headers of an answer that this node makes itself."""
         ...
 
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -70,17 +70,17 @@
             sent.append((b"After", forwarding.last_event.encode()))
         return sent
 
-    def kept(self):
+    def end_to_end_headers(self):
         return frozenset({b"id"})
 
-    def decode_answer(self, headers):
+    def decode_response(self, headers):
         return ResponseMetadata(
             request_id=_text(headers, b"id"),
             sealed=bool(header_value(headers, b"signed")),
             not_run=bool(header_value(headers, b"refused")),
         )
 
-    def own_answer(self, metadata):
+    def own_response_headers(self, metadata):
         return [(b"Id", metadata.id.encode())] if metadata.id else []
 
     def decode_configuration(self, value):
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,7 +1,7 @@
 import pytest
 from endive_gateway.exceptions import BadHeaderError
 from endive_gateway.interfaces import ForwardingMetadata, RequestMetadata
-from endive_platform.headers import decode_answer, decode_request, encode_request
+from endive_platform.headers import decode_request, decode_response, encode_request
 
 
 def headers(**values):
@@ -100,7 +100,7 @@
 
 
 def test_an_answer_is_decoded_whole():
-    metadata = decode_answer(
+    metadata = decode_response(
         headers(Response_Seal="3e", Not_Run="1", Server_Load="3,1,8", Instance_Id="i-1")
     )
     assert metadata.request_id == "r1"
@@ -112,4 +112,4 @@
 
 @pytest.mark.parametrize("load", ["", "3", "3,1", "a,b,c", "3,1,8,9", "-1,0,8"])
 def test_an_unreadable_load_is_none(load):
-    assert decode_answer(headers(Server_Load=load)).running is None
+    assert decode_response(headers(Server_Load=load)).running is None
