--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -180,7 +180,7 @@
     ) -> None:
         """Refuse a success that is not the server's own."""
         encoding = header_value(message.headers, b"content-encoding").lower()
-        if not metadata.sealed or encoding not in (b"", b"identity"):
+        if not metadata.signed or encoding not in (b"", b"identity"):
             raise ConnectionBrokenError("an answer without a signature", sent=True)
 
     def _whole(self, message: AnswerMessage) -> ServerResponse:
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -244,7 +244,7 @@
     """
 
     request_id: str = ""
-    sealed: bool = False
+    signed: bool = False
     not_run: bool = False
     server_id: str = ""
     running: int | None = None
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -76,7 +76,7 @@
     def decode_response(self, headers):
         return ResponseMetadata(
             request_id=_text(headers, b"id"),
-            sealed=bool(header_value(headers, b"signed")),
+            signed=bool(header_value(headers, b"signed")),
             not_run=bool(header_value(headers, b"refused")),
         )
 
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -104,7 +104,7 @@
         headers(Response_Seal="3e", Not_Run="1", Server_Load="3,1,8", Instance_Id="i-1")
     )
     assert metadata.request_id == "r1"
-    assert metadata.sealed
+    assert metadata.signed
     assert metadata.not_run
     assert (metadata.running, metadata.waiting, metadata.slots) == (3, 1, 8)
     assert metadata.server_id == "i-1"
