--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -45,7 +45,7 @@
     ticket: Ticket
     splitter: EventSplitter
     organisation: str
-    urgency: int
+    server_priority: int
     in_flight: bool
     servers: list[str]
     sent_at: float
@@ -122,7 +122,7 @@
             server_id=self.view.id,
             organisation=self.request.organisation,
             left_s=max(0.001, self.request.left_s()),
-            urgency=self.request.urgency,
+            server_priority=self.request.server_priority,
             last_event=self.request.splitter.last_id
             or self.request.metadata.last_event,
         )
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -241,7 +241,7 @@
                 return
 
     @property
-    def urgency(self) -> int:
+    def server_priority(self) -> int:
         """The urgency at the server, from 0, which goes first."""
         return LAST_URGENCY if self.ticket.yields else self.usual_urgency
 
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -224,9 +224,9 @@
     server_id: str
     organisation: str
     left_s: float
-    urgency: int = 5
+    server_priority: int = 5
     last_event: str = ""
-    copy: str = ""
+    kv_source: str = ""
 
 
 @dataclass(slots=True)
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -78,7 +78,7 @@
                 X_Own="kept",
             ),
             RequestMetadata("r1", prompt_tokens=5),
-            ForwardingMetadata("i-1", "o", 0.25, urgency=3),
+            ForwardingMetadata("i-1", "o", 0.25, server_priority=3),
         )
     )
     assert sent == {
@@ -92,7 +92,9 @@
 
 
 def test_a_resumed_run_names_its_place_and_copy():
-    forwarding = ForwardingMetadata("i-1", "", 1.0, last_event="12", copy="1.2.3.4:5/h")
+    forwarding = ForwardingMetadata(
+        "i-1", "", 1.0, last_event="12", kv_source="1.2.3.4:5/h"
+    )
     sent = dict(encode_request(headers(), RequestMetadata("r1"), forwarding))
     assert sent[b"Last-Event-Id"] == b"12"
     assert sent[b"Kv-From"] == b"1.2.3.4:5/h"
