--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -123,8 +123,8 @@
             organisation=self.request.organisation,
             left_s=max(0.001, self.request.left_s()),
             server_priority=self.request.server_priority,
-            last_event=self.request.splitter.last_id
-            or self.request.metadata.last_event,
+            last_event_id=self.request.splitter.last_id
+            or self.request.metadata.last_event_id,
         )
         headers = self.context.wire.encode_request(
             end_to_end(message.headers, self.context.wire.end_to_end_headers()),
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -200,7 +200,7 @@
     prompt_tokens: int | None = None
     max_tokens: int | None = None
     parts: tuple[PromptPart, ...] = ()
-    last_event: str = ""
+    last_event_id: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -225,7 +225,7 @@
     organisation: str
     left_s: float
     server_priority: int = 5
-    last_event: str = ""
+    last_event_id: str = ""
     kv_source: str = ""
 
 
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -48,7 +48,7 @@
         budget = _text(headers, b"wait-ms")
         metadata.budget_s = float(budget) / 1000 if budget else None
         metadata.key = _text(headers, b"key")
-        metadata.last_event = _text(headers, b"after")
+        metadata.last_event_id = _text(headers, b"after")
         tokens = _text(headers, b"tokens")
         if tokens:
             metadata.prompt_tokens, metadata.max_tokens = map(int, tokens.split(","))
@@ -66,8 +66,8 @@
         sent.append((b"Meant", forwarding.server_id.encode()))
         sent.append((b"Organisation", forwarding.organisation.encode()))
         sent.append((b"Urgency", b"%d" % forwarding.server_priority))
-        if forwarding.last_event:
-            sent.append((b"After", forwarding.last_event.encode()))
+        if forwarding.last_event_id:
+            sent.append((b"After", forwarding.last_event_id.encode()))
         return sent
 
     def end_to_end_headers(self):
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -28,7 +28,7 @@
         (0x5C1E07A2, 800),
         (0x91BD3F06, 410),
     ]
-    assert metadata.last_event == "7"
+    assert metadata.last_event_id == "7"
 
 
 @pytest.mark.parametrize(
@@ -93,7 +93,7 @@
 
 def test_a_resumed_run_names_its_place_and_copy():
     forwarding = ForwardingMetadata(
-        "i-1", "", 1.0, last_event="12", kv_source="1.2.3.4:5/h"
+        "i-1", "", 1.0, last_event_id="12", kv_source="1.2.3.4:5/h"
     )
     sent = dict(encode_request(headers(), RequestMetadata("r1"), forwarding))
     assert sent[b"Last-Event-Id"] == b"12"
