--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -325,7 +325,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class NodeLocation:
     """Where this node is, and where others may be found.
 
     Attributes
@@ -351,7 +351,7 @@
 class GatewaySettings:
     """What a gateway is told at its start."""
 
-    place: Place
+    place: NodeLocation
     bounds: Bounds = Bounds()
     duties: frozenset[str] = frozenset()
 
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -22,7 +22,7 @@
 from endive_gateway.interfaces import (
     Bounds,
     GatewaySettings,
-    Place,
+    NodeLocation,
     PromptPart,
     RequestMetadata,
     ResponseMetadata,
@@ -140,7 +140,7 @@
 def make_context(table=None, *, store=None, cloud=None, node="n1", bounds=None):
     """Return a context without any loop running."""
     settings = GatewaySettings(
-        place=Place(node, "127.0.0.1", "z", 0, 0, 0, zones=("z",)),
+        place=NodeLocation(node, "127.0.0.1", "z", 0, 0, 0, zones=("z",)),
         bounds=bounds or Bounds(),
         duties=frozenset({"usage", "scale"}),
     )
--- a/packages/endive_gateway/tests/test_gateway.py
+++ b/packages/endive_gateway/tests/test_gateway.py
@@ -2,11 +2,11 @@
 
 import pytest
 from endive_gateway.gateway import Gateway
-from endive_gateway.interfaces import Bounds, GatewaySettings, Place
+from endive_gateway.interfaces import Bounds, GatewaySettings, NodeLocation
 from gateway_builders import Caller, PlainWire, make_table
 from store_builders import MemoryStore, RecordingCloud
 
-PLACE = Place("n1", "127.0.0.1", "z", 0, 0, 17_621)
+PLACE = NodeLocation("n1", "127.0.0.1", "z", 0, 0, 17_621)
 
 
 @pytest.fixture
