--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -60,7 +60,7 @@
         self.context = context
         self.peers = peers
         self.ordering = ordering
-        self.me = context.settings.place.node
+        self.me = context.settings.location.node
         self.log = DutyLog(lease_s=LEASE_S, margin_s=MARGIN_S)
         self.lease = Lease()
         self.wanted = True
--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -62,14 +62,14 @@
     ) -> None:
         self.settings = settings
         self.context = Context(settings, wire, store, cloud)
-        place = settings.place
+        location = settings.location
         self.callers = CallerListener(
-            callers_port or listen_tcp(place.address, place.caller_port),
+            callers_port or listen_tcp(location.address, location.caller_port),
             Forwarder(self.context),
             self.context.caller_limits,
         )
         self.readiness = StreamServer(
-            listen_tcp(place.address, place.ready_port), self._answer_ready
+            listen_tcp(location.address, location.ready_port), self._answer_ready
         )
         self.peers = Peers(self.context)
         self.spending = SpendingNotes(
@@ -99,8 +99,10 @@
 
     def start(self) -> None:
         """Start all parts."""
-        place = self.settings.place
-        log_event("start", node=place.node, zone=place.zone, address=place.address)
+        location = self.settings.location
+        log_event(
+            "start", node=location.node, zone=location.zone, address=location.address
+        )
         loops = [
             self.configuration.run,
             self.servers.run,
@@ -109,15 +111,15 @@
         ]
         if self.settings.duties:
             loops.append(self.duties.run)
-        if place.metrics_port:
+        if location.metrics_port:
             self._show_state()
             self.metrics = MetricsServer(
-                place.address, place.metrics_port, self.context.metrics
+                location.address, location.metrics_port, self.context.metrics
             )
             self.metrics.start()
         self.peers.start()
-        self.spending.start(place.peer_port + 1)
-        self.prompts.datagrams.start(place.address, place.peer_port + 2)
+        self.spending.start(location.peer_port + 1)
+        self.prompts.datagrams.start(location.address, location.peer_port + 2)
         self.context.on_prompt = self.prompts.announce
         for loop in loops:
             gevent.spawn(keep_running, loop)
@@ -158,9 +160,9 @@
         if settings == self.settings:
             log_event("reload", changed="nothing")
             return
-        if settings.place != self.settings.place:
-            log_event("reload", kept=self.settings.place, found=settings.place)
-            settings = replace(settings, place=self.settings.place)
+        if settings.location != self.settings.location:
+            log_event("reload", kept=self.settings.location, found=settings.location)
+            settings = replace(settings, location=self.settings.location)
         log_event("reload", bounds=settings.bounds, duties=sorted(settings.duties))
         self.settings = self.context.settings = settings
 
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -351,7 +351,7 @@
 class GatewaySettings:
     """What a gateway is told at its start."""
 
-    place: NodeLocation
+    location: NodeLocation
     bounds: Bounds = Bounds()
     duties: frozenset[str] = frozenset()
 
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -84,10 +84,10 @@
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        place = context.settings.place
-        self.me = place.node
-        self.address = place.address
-        self.port = place.peer_port
+        location = context.settings.location
+        self.me = location.node
+        self.address = location.address
+        self.port = location.peer_port
         self.known: dict[str, Peer] = {}
         self.sequence = 0
         self.fence = 0
@@ -102,7 +102,7 @@
         self.loops: list[gevent.Greenlet] = []
         self.servers: ServerFollower | None = None
         self.configuration: ConfigurationFollower | None = None
-        for seed in place.seeds:
+        for seed in location.seeds:
             self._add(seed)
 
     def start(self) -> None:
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -108,7 +108,7 @@
         self.context = context
         self.others = others
         self.tellings = tellings
-        self.address = context.settings.place.address
+        self.address = context.settings.location.address
         self.count = UnsentSpending()
         self.counting: dict[str, tuple[list[str], str]] = {}
         self.asked = 0
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -140,7 +140,7 @@
 def make_context(table=None, *, store=None, cloud=None, node="n1", bounds=None):
     """Return a context without any loop running."""
     settings = GatewaySettings(
-        place=NodeLocation(node, "127.0.0.1", "z", 0, 0, 0, zones=("z",)),
+        location=NodeLocation(node, "127.0.0.1", "z", 0, 0, 0, zones=("z",)),
         bounds=bounds or Bounds(),
         duties=frozenset({"usage", "scale"}),
     )
--- a/packages/endive_gateway/tests/test_gateway.py
+++ b/packages/endive_gateway/tests/test_gateway.py
@@ -43,5 +43,5 @@
     a signal. The node goes on; what it can't change without a new start it keeps."""
     moved = replace(PLACE, caller_port=9999)
     gateway.reload(GatewaySettings(moved, Bounds(grace_s=20)))
-    assert gateway.settings.place == PLACE
+    assert gateway.settings.location == PLACE
     assert gateway.context.settings.bounds.grace_s == 20
