--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -58,13 +58,13 @@
         wire: Wire,
         store: Store,
         cloud: Cloud,
-        callers_port: socket.socket | None = None,
+        caller_socket: socket.socket | None = None,
     ) -> None:
         self.settings = settings
         self.context = Context(settings, wire, store, cloud)
         location = settings.location
         self.callers = CallerListener(
-            callers_port or listen_tcp(location.address, location.caller_port),
+            caller_socket or listen_tcp(location.address, location.caller_port),
             Forwarder(self.context),
             self.context.caller_limits,
         )
