--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -143,7 +143,7 @@
         if metadata.running is not None:
             self.context.placer.report(view.id, metadata.running, metadata.waiting or 0)
         if message.status == 421:
-            self.context.registry.contradict(view.id)
+            self.context.registry.mark_misidentified(view.id)
             raise AttemptError(
                 "another server has the address",
                 RetryReason.SERVER_LEAVING,
--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -119,7 +119,7 @@
         return True
 
     def _see_informed(self) -> None:
-        if self.table is not None and self.registry.known_once:
+        if self.table is not None and self.registry.is_loaded:
             self.informed.set()
 
     def await_information(self) -> None:
--- a/packages/endive_gateway/src/endive_gateway/following.py
+++ b/packages/endive_gateway/src/endive_gateway/following.py
@@ -339,8 +339,8 @@
                 self.dirty |= registry.drop(
                     missing, now, after_outage=self.after_outage
                 )
-        self.dirty |= not registry.known_once
-        registry.known_once = True
+        self.dirty |= not registry.is_loaded
+        registry.is_loaded = True
         self.marks.append((now, self.next))
         if registry.has_lapsed:
             gevent.spawn_later(RETURN_GRACE_S + TIMER_EARLY_S, self._sweep)
--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -94,7 +94,7 @@
         return (
             self.stopping_at is None
             and self.context.table is not None
-            and self.context.registry.known_once
+            and self.context.registry.is_loaded
         )
 
     def start(self) -> None:
--- a/packages/endive_gateway/src/endive_gateway/ordering.py
+++ b/packages/endive_gateway/src/endive_gateway/ordering.py
@@ -105,7 +105,7 @@
         the servers seen so far call for: they take 4 s to start, on-demand ones run
         meanwhile, and more can be ordered at the next step.
         """
-        if now < self.next_try_at or not self.context.registry.known_once:
+        if now < self.next_try_at or not self.context.registry.is_loaded:
             return
         settled = self._settled(now)
         for service in self._scaled():
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -166,7 +166,7 @@
         self.context = make_context(table or make_table())
         for server in servers:
             self.context.registry.put(make_entry(server.id, address=server.address))
-        self.context.registry.known_once = True
+        self.context.registry.is_loaded = True
         self.context.registry.changed()
         self.listener = CallerListener(
             listen_tcp("127.0.0.1", 0),
--- a/packages/endive_gateway/tests/test_gateway.py
+++ b/packages/endive_gateway/tests/test_gateway.py
@@ -27,13 +27,13 @@
     assert ask(gateway) == 503
     gateway.context.configure(make_table(), b"", "test")
     assert ask(gateway) == 503
-    gateway.context.registry.known_once = True
+    gateway.context.registry.is_loaded = True
     assert ask(gateway) == 200
 
 
 def test_a_stopping_node_is_not_ready_at_once(gateway):
     gateway.context.configure(make_table(), b"", "test")
-    gateway.context.registry.known_once = True
+    gateway.context.registry.is_loaded = True
     gateway.stopping_at = 1.0
     assert ask(gateway) == 503
 
--- a/packages/endive_gateway/tests/test_ordering.py
+++ b/packages/endive_gateway/tests/test_ordering.py
@@ -18,7 +18,7 @@
         table = make_table()
         table.services["s"] = Service("s", scaling=SCALING)
         self.context = make_context(table, cloud=self.cloud)
-        self.context.registry.known_once = True
+        self.context.registry.is_loaded = True
         self.ordering = Ordering(self.context, Peers(self.context))
         self.now = 1000.0
         self.ordering.clock = lambda: self.now
@@ -98,7 +98,7 @@
 
 
 def test_nothing_is_ordered_before_any_server_is_known(fleet):
-    fleet.context.registry.known_once = False
+    fleet.context.registry.is_loaded = False
     assert not fleet.play(2.0, work=0.0)
 
 
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -35,7 +35,7 @@
 
 def know(context, server):
     context.registry.put(make_entry(server.id, address=server.address))
-    context.registry.known_once = True
+    context.registry.is_loaded = True
     context.registry.changed()
 
 
