--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -15,7 +15,7 @@
 from endive_core.prefilling import PrefillRate
 from endive_core.routing import Scaling
 from endive_core.scheduler import Scheduler
-from endive_gateway.duties import STEP_S as ORDER_S
+from endive_gateway.duties import DUTY_INTERVAL_S as ORDER_S
 from endive_gateway.ordering import LEAST_NEEDED, UNMEASURED_S
 from endive_gateway.peers import TELL_PER_NODE_S, TELL_S
 from endive_gateway.placing import GATEWAY_POLICY, INTERLEAVING_FACTOR
--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -32,7 +32,7 @@
 RENEW_LEFT_S = 1.1
 """Time left at which the holder renews, seconds: two tries fit in it."""
 
-STEP_S = 0.25
+DUTY_INTERVAL_S = 0.25
 """How often the holder looks whether there is something to do, seconds."""
 
 RANK_S = 0.4
@@ -86,7 +86,7 @@
             self.ordering.measure(boot_time())
             self.peers.fence = self.lease.fence if self._held() else 0
             self.peers.see_duty_end(self.log.end)
-            gevent.sleep(STEP_S)
+            gevent.sleep(DUTY_INTERVAL_S)
 
     def step(self) -> None:
         """Act once, as holder or as candidate; raises StoreError."""
