--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -96,7 +96,7 @@
             if self.lease.fence:
                 log_event("duties_lost", fence=self.lease.fence)
                 self.lease.drop()
-            if self.wanted and self._is_due():
+            if self.wanted and self._should_claim():
                 self._try_claim()
 
     def _held(self) -> bool:
@@ -104,7 +104,7 @@
 
     # Taking over
 
-    def _is_due(self) -> bool:
+    def _should_claim(self) -> bool:
         """Return whether no holder is heard, for as long as this node's rank says.
 
         A holder that dies or that the store turns away is heard of for seconds more.
--- a/tests/soak/launch.py
+++ b/tests/soak/launch.py
@@ -51,7 +51,7 @@
     from endive_core.leases import DutyLog
     from endive_gateway.duties import Duties
 
-    Duties._is_due = lambda self: True
+    Duties._should_claim = lambda self: True
     DutyLog.may_claim = lambda self, node, now: True
 
 
