--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -17,7 +17,7 @@
 from endive_core.scheduler import Scheduler
 from endive_gateway.duties import DUTY_INTERVAL_S as ORDER_S
 from endive_gateway.ordering import LEAST_NEEDED, UNMEASURED_S
-from endive_gateway.peers import TELL_PER_NODE_S, TELL_S
+from endive_gateway.peers import BROADCAST_INTERVAL_PER_NODE_S, BROADCAST_INTERVAL_S
 from endive_gateway.placing import GATEWAY_POLICY, INTERLEAVING_FACTOR
 
 from experiments.deployment import Deployment
@@ -142,7 +142,9 @@
             for _ in range(figures.at_start_in_zone):
                 self._add_engine(zone, reclaimable=False, ready_at=0.0)
         self._list_servers()
-        gap_s = max(TELL_S, TELL_PER_NODE_S * self.deployment.nodes)
+        gap_s = max(
+            BROADCAST_INTERVAL_S, BROADCAST_INTERVAL_PER_NODE_S * self.deployment.nodes
+        )
         for number, node in enumerate(self.nodes):
             self.at(gap_s * number / len(self.nodes), self._tell, node, gap_s)
         zones = self.random.sample(self.zones, len(self.zones))
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -26,8 +26,8 @@
 from endive_gateway.nodes import Peer
 from endive_gateway.tellings import DECODER, Telling
 
-TELL_S = 0.2
-TELL_PER_NODE_S = 0.01
+BROADCAST_INTERVAL_S = 0.2
+BROADCAST_INTERVAL_PER_NODE_S = 0.01
 """Time between two tellings, seconds, at least and for each node known. What one node
 sends and receives then stays under 200 datagrams a second however many nodes there
 are; the limits shared by them are counted over 8 seconds."""
@@ -200,7 +200,7 @@
     def _tell_all(self) -> None:
         while True:
             nodes = len(self.known) + 1
-            gap = max(TELL_S, TELL_PER_NODE_S * nodes)
+            gap = max(BROADCAST_INTERVAL_S, BROADCAST_INTERVAL_PER_NODE_S * nodes)
             self._expect_tellings_each(gap)
             gap *= self.context.random.uniform(0.9, 1.1)
             steps = max(1, -(-(nodes - 1) // AT_ONCE))
