--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -16,7 +16,7 @@
 from endive_core.routing import Scaling
 from endive_core.scheduler import Scheduler
 from endive_gateway.duties import DUTY_INTERVAL_S as ORDER_S
-from endive_gateway.ordering import LEAST_NEEDED, UNMEASURED_S
+from endive_gateway.ordering import LOAD_WARM_UP_S, MIN_NEEDED_SERVERS
 from endive_gateway.peers import BROADCAST_INTERVAL_PER_NODE_S, BROADCAST_INTERVAL_S
 from endive_gateway.placing import GATEWAY_POLICY, INTERLEAVING_FACTOR
 
@@ -328,7 +328,7 @@
                 state.ready += 1
         at_start = len(self.zones) * figures.at_start_in_zone
         needed = self.load.peak() / self.options.used_part
-        if self.now < UNMEASURED_S:
+        if self.now < LOAD_WARM_UP_S:
             needed = max(needed, at_start)
         scaling = Scaling(
             1,
@@ -341,7 +341,7 @@
         return CapacityView(
             scaling,
             pools,
-            max(LEAST_NEEDED, needed),
+            max(MIN_NEEDED_SERVERS, needed),
             self.now,
             refused,
             dict(self.ordered),
--- a/packages/endive_gateway/src/endive_gateway/ordering.py
+++ b/packages/endive_gateway/src/endive_gateway/ordering.py
@@ -37,7 +37,7 @@
 in 1.2 s, and the list is read each 0.7 s. An order whose servers are missing then is
 sent again."""
 
-UNMEASURED_S = 8.0
+LOAD_WARM_UP_S = 8.0
 """Time of traffic after which the measured load is trusted, seconds. Until then the
 servers that are there at the start say how many are needed."""
 
@@ -60,7 +60,7 @@
 """Time after the list of servers was first read until it is taken to be whole,
 seconds: each server writes once in 1.2 s."""
 
-LEAST_NEEDED = 1.6
+MIN_NEEDED_SERVERS = 1.6
 """Servers needed at the least, whatever the load: with fewer, one crash leaves one."""
 
 
@@ -136,7 +136,9 @@
     def needed(self, service: Service, now: float) -> float:
         """Return the servers that carry the service's load."""
         load = self.loads.get(service.name)
-        needed = max(LEAST_NEEDED, load.peak() / TARGET_UTILISATION if load else 0.0)
+        needed = max(
+            MIN_NEEDED_SERVERS, load.peak() / TARGET_UTILISATION if load else 0.0
+        )
         if self._is_measured(now):
             return needed
         if self.traffic_since is None:
@@ -145,7 +147,7 @@
 
     def _is_measured(self, now: float) -> bool:
         since = self.traffic_since
-        return since is not None and now - since >= UNMEASURED_S
+        return since is not None and now - since >= LOAD_WARM_UP_S
 
     def _settled(self, now: float) -> bool:
         """Return whether the servers there are have had time to register.
