--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -297,8 +297,8 @@
     """Return a gateway before two servers of which the first asked follows `first`."""
     script = [first, second]
 
-    def next_entry(sock, seen):
-        return (script.pop(0) if script else ok)(sock, seen)
+    def next_entry(sock, received):
+        return (script.pop(0) if script else ok)(sock, received)
 
     servers = [
         ScriptedServer(next_entry, next_entry, server_id=name)
@@ -309,7 +309,7 @@
 
 def arrivals(running):
     """Return how many requests reached the servers of a running gateway."""
-    return sum(len(server.seen) for server in running.servers)
+    return sum(len(server.received) for server in running.servers)
 
 
 def freeze_time(context, wall):
--- a/packages/endive_gateway/tests/test_callers.py
+++ b/packages/endive_gateway/tests/test_callers.py
@@ -51,7 +51,7 @@
         assert caller.receive().status == 100
         caller.raw(b"ab")
         assert caller.receive().status == 200
-        assert "expect" not in running.servers[0].seen[0].headers
+        assert "expect" not in running.servers[0].received[0].headers
 
 
 def test_an_idle_connection_is_closed_only_after_its_time():
--- a/packages/endive_gateway/tests/test_forwarding.py
+++ b/packages/endive_gateway/tests/test_forwarding.py
@@ -20,14 +20,14 @@
 from server_builders import (
     ScriptedServer,
     answer,
-    elsewhere,
+    at_capacity,
+    close_connection,
     encoded,
     failing,
-    full,
+    misdirected,
     ok,
     raw,
-    reset,
-    silent,
+    unresponsive,
 )
 
 UNSAFE = {"kind": RouteKind.NON_IDEMPOTENT, "max_attempts": 1}
@@ -39,15 +39,15 @@
     body = bytes(range(256)) * 300
     with RunningGateway(ScriptedServer()) as running:
         got = running.call("/x/%2e%2e/y?q=a%20b&c", method="PATCH", body=body, X_A="ä")
-        seen = running.servers[0].seen[0]
+        received = running.servers[0].received[0]
     assert got.status == 200
     assert got.body == b"fine"
-    assert (seen.method, seen.target, seen.body) == (
+    assert (received.method, received.target, received.body) == (
         "PATCH",
         "/x/%2e%2e/y?q=a%20b&c",
         body,
     )
-    assert seen.headers["host"] == HOST
+    assert received.headers["host"] == HOST
 
 
 def test_a_chunked_body_arrives_with_a_length():
@@ -58,10 +58,10 @@
             b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         )
         assert caller.receive().status == 200
-        seen = running.servers[0].seen[0]
-    assert seen.body == b"abcde"
-    assert seen.headers["content-length"] == "5"
-    assert "transfer-encoding" not in seen.headers
+        received = running.servers[0].received[0]
+    assert received.body == b"abcde"
+    assert received.headers["content-length"] == "5"
+    assert "transfer-encoding" not in received.headers
 
 
 def test_a_smuggled_request_never_reaches_a_server():
@@ -82,12 +82,12 @@
 def test_what_a_caller_may_not_set_is_replaced():
     with RunningGateway(ScriptedServer(), table=closed_table()) as running:
         got = running.call(Key="k", Organisation="other", Meant="i-9", Wait_Ms="5000")
-        seen = running.servers[0].seen[0]
+        received = running.servers[0].received[0]
     assert got.status == 200
-    assert seen.headers["organisation"] == "o"
-    assert seen.headers["meant"] == "i-1"
-    assert int(seen.headers["wait-ms"]) <= 2000
-    assert "key" not in seen.headers
+    assert received.headers["organisation"] == "o"
+    assert received.headers["meant"] == "i-1"
+    assert int(received.headers["wait-ms"]) <= 2000
+    assert "key" not in received.headers
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,12 @@
 
 
 def test_an_idempotent_request_goes_to_a_second_server_after_a_failure():
-    for first in (failing, reset, full, raw(b"junk\r\n\r\n", close=True)):
+    for first in (
+        failing,
+        close_connection,
+        at_capacity,
+        raw(b"junk\r\n\r\n", close=True),
+    ):
         with two(first) as running:
             assert running.call().status == 200
             assert arrivals(running) == 2
@@ -140,7 +145,7 @@
 def test_a_request_that_may_have_run_is_not_sent_again():
     """A server resets the connection after it got a booking. Sent to another server,
     the court would be booked twice; told "not run", the caller would do it."""
-    with two(reset, **UNSAFE | {"max_attempts": 3}) as running:
+    with two(close_connection, **UNSAFE | {"max_attempts": 3}) as running:
         got = running.call(method="POST", body=b"{}")
         assert arrivals(running) == 1
     assert got.status == 502
@@ -149,14 +154,14 @@
 
 
 def test_a_server_that_did_not_run_a_request_lets_another_run_it():
-    with two(full, **UNSAFE | {"max_attempts": 2}) as running:
+    with two(at_capacity, **UNSAFE | {"max_attempts": 2}) as running:
         assert running.call(method="POST", body=b"{}").status == 200
         assert arrivals(running) == 2
 
 
 def test_not_run_is_said_with_a_time_to_come_back():
     with RunningGateway(
-        ScriptedServer(full), table=make_table(make_route(**UNSAFE))
+        ScriptedServer(at_capacity), table=make_table(make_route(**UNSAFE))
     ) as running:
         got = running.call(method="POST", body=b"{}")
     assert got.status == 503
@@ -198,7 +203,7 @@
 def test_a_server_at_anothers_address_is_not_asked_again():
     """A server ended and its address went to another one, which refuses what is not
     meant for it. Asked again and again, each request would lose a round trip."""
-    with two(elsewhere, **UNSAFE) as running:
+    with two(misdirected, **UNSAFE) as running:
         for _ in range(3):
             assert running.call(method="POST", body=b"{}").status == 200
         assert arrivals(running) == 4
@@ -243,8 +248,8 @@
     """A server answers one request twice. The second answer comes where the next
     request's is due, and its caller would get a stranger's data."""
 
-    def twice(sock, seen):
-        sock.sendall(encoded(seen) + encoded(seen, body=b"again"))
+    def twice(sock, received):
+        sock.sendall(encoded(received) + encoded(received, body=b"again"))
 
     with RunningGateway(ScriptedServer(twice, answer(body=b"second"))) as running:
         caller = running.caller()
@@ -255,10 +260,10 @@
 
 
 def test_an_extra_answer_after_the_next_request_went_out_is_skipped():
-    def late(sock, seen):
-        sock.sendall(encoded(seen, body=b"stale", request_id="q-before"))
+    def late(sock, received):
+        sock.sendall(encoded(received, body=b"stale", request_id="q-before"))
         gevent.sleep(0.02)
-        sock.sendall(encoded(seen, body=b"mine"))
+        sock.sendall(encoded(received, body=b"mine"))
 
     with RunningGateway(ScriptedServer(late)) as running:
         assert running.call().body == b"mine"
@@ -271,18 +276,18 @@
     with RunningGateway(ScriptedServer()) as running:
         server = running.servers[0]
 
-        def early(sock, seen):
-            sock.sendall(encoded(seen, 400, b"too long"))
+        def early(sock, received):
+            sock.sendall(encoded(received, 400, b"too long"))
 
         server.script.append(early)
         assert running.call(method="POST", body=b"x" * 1_000_000).status == 400
         assert running.call(method="POST", body=b"y").status == 200
-        assert [len(seen.body) for seen in server.seen] == [1_000_000, 1]
+        assert [len(received.body) for received in server.received] == [1_000_000, 1]
 
 
 def test_a_caller_that_leaves_ends_its_request_at_the_server():
     """Nobody waits for the answer any more; a server that works on holds a slot."""
-    with RunningGateway(ScriptedServer(silent)) as running:
+    with RunningGateway(ScriptedServer(unresponsive)) as running:
         caller = running.caller()
         caller.send()
         gevent.sleep(0.1)
@@ -295,7 +300,7 @@
 
 
 def test_the_routes_timeout_ends_a_request_with_a_true_answer():
-    with two(silent, timeout_s=0.3, **UNSAFE) as running:
+    with two(unresponsive, timeout_s=0.3, **UNSAFE) as running:
         started = time.monotonic()
         got = running.call(method="POST", body=b"{}")
     assert got.status == 504
@@ -307,7 +312,9 @@
     with RunningGateway(ScriptedServer()) as running:
         running.call(Wait_Ms="500")
         running.call(Wait_Ms="50000")
-        left = [int(seen.headers["wait-ms"]) for seen in running.servers[0].seen]
+        left = [
+            int(received.headers["wait-ms"]) for received in running.servers[0].received
+        ]
     assert left[0] <= 500
     assert left[1] <= 2000
 
@@ -326,9 +333,9 @@
     """The first server fails 0.25 s into the 0.3 s of its route. A second one could not
     answer any more, and the caller would lose the failure that is there."""
 
-    def late_failure(sock, seen):
+    def late_failure(sock, received):
         gevent.sleep(0.25)
-        return failing(sock, seen)
+        return failing(sock, received)
 
     with two(late_failure, timeout_s=0.3) as running:
         got = running.call()
@@ -348,7 +355,7 @@
     assert float(got[-1].headers["retry-after"]) > 0
 
 
-def crash(sock, seen):
+def crash(sock, received):
     """End the whole server, as a request does that crashes it."""
     sock.close()
     return False
@@ -362,9 +369,9 @@
     ) as running:
         for server in running.servers:
 
-            def fall_over(sock, seen, server=server):
+            def fall_over(sock, received, server=server):
                 server.stop()
-                return crash(sock, seen)
+                return crash(sock, received)
 
             server.script.append(fall_over)
         first = running.call(method="POST", body=b"poison", request_id="p1")
@@ -399,4 +406,4 @@
         for _ in range(2):
             running.servers[1].script.clear()
             assert running.call().status == 200
-        assert not leaving.seen
+        assert not leaving.received
