--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -257,7 +257,7 @@
         told = told_tokens({load.id: load.starting_tokens for load in loads})
         for other in self.nodes:
             if other is not node:
-                other.backlogs.hear(node.name, told, self.now)
+                other.backlogs.receive(node.name, told, self.now)
         self._pump(node)
         self.at(self.now + gap_s, self._tell, node, gap_s)
 
--- a/packages/endive_core/src/endive_core/backlogs.py
+++ b/packages/endive_core/src/endive_core/backlogs.py
@@ -33,7 +33,7 @@
         self.by_server: dict[str, dict[str, tuple[float, float]]] = {}
         self.by_node: dict[str, set[str]] = {}
 
-    def hear(self, node: str, tokens: Mapping[str, float], now: float) -> None:
+    def receive(self, node: str, tokens: Mapping[str, float], now: float) -> None:
         """Take over the tokens by server that another node waits for."""
         for server in self.by_node.get(node, set()) - tokens.keys():
             told = self.by_server[server]
--- a/packages/endive_core/src/endive_core/clocks.py
+++ b/packages/endive_core/src/endive_core/clocks.py
@@ -37,7 +37,7 @@
         self.wall = wall
         self.readings: dict[str, Reading] = {}
 
-    def hear(self, node: str, wall: float) -> None:
+    def receive(self, node: str, wall: float) -> None:
         """Take over another node's time of day, a network delay old."""
         now = self.steady()
         self.readings[node] = Reading(wall - now, now)
--- a/packages/endive_core/src/endive_core/metering.py
+++ b/packages/endive_core/src/endive_core/metering.py
@@ -41,7 +41,7 @@
         """Return this node's counts of the last two windows."""
         return {window: dict(self.own[window]) for window in sorted(self.own)[-2:]}
 
-    def hear(
+    def receive(
         self, node: str, incarnation: int, counts: dict[int, dict[str, int]]
     ) -> None:
         """Take over another node's counts; they only grow within one incarnation."""
--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -140,7 +140,7 @@
         """Return what this node has spent since it started, by organisation."""
         return self.spent
 
-    def hear(
+    def receive(
         self, spender: SpendingOrigin, spent: Mapping[str, float], now: float
     ) -> None:
         """Take over what another node has spent since it started."""
--- a/packages/endive_core/src/endive_core/suspicions.py
+++ b/packages/endive_core/src/endive_core/suspicions.py
@@ -67,7 +67,7 @@
         counts = Counter(server for _, server in self.own)
         return dict(counts.most_common(MOST_TOLD))
 
-    def hear(self, node: str, counts: Mapping[str, int], now: float) -> None:
+    def receive(self, node: str, counts: Mapping[str, int], now: float) -> None:
         """Take over another node's failures of late."""
         if counts:
             self.told[node] = (now, counts)
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -76,12 +76,12 @@
         for other in self.nodes.values():
             if other is not node:
                 self.later(
-                    self.delay_s, self.hear, other, node.name, spent, node.tellings
+                    self.delay_s, self.receive, other, node.name, spent, node.tellings
                 )
         self.later(TELL_S, self.tell, node)
 
-    def hear(self, node, sender, spent, tellings):
-        node.limits.hear(self.spender(sender, tellings), spent, self.now)
+    def receive(self, node, sender, spent, tellings):
+        node.limits.receive(self.spender(sender, tellings), spent, self.now)
 
     def spender(self, name, tellings):
         return SpendingOrigin(name, 1, tellings, age_s=self.now)
@@ -235,7 +235,7 @@
 def test_what_was_noted_is_not_counted_again_with_the_telling():
     limits = SharedLimits(0.0)
     assert noted(limits, 20.0, tellings=1) == 20.0
-    limits.hear(spender(tellings=2), {"o": 20.0}, 1.1)
+    limits.receive(spender(tellings=2), {"o": 20.0}, 1.1)
     assert limits.allowances["o"].units == -20.0
 
 
@@ -244,9 +244,9 @@
     first. Taken as the newest, the telling would give back what the note had taken."""
     limits = SharedLimits(0.0)
     noted(limits, 20.0, tellings=3)
-    limits.hear(spender(tellings=3), {"o": 0.0}, 1.1)
+    limits.receive(spender(tellings=3), {"o": 0.0}, 1.1)
     assert limits.allowances["o"].units == -20.0
-    limits.hear(spender(tellings=4), {"o": 0.0}, 1.2)
+    limits.receive(spender(tellings=4), {"o": 0.0}, 1.2)
     assert limits.allowances["o"].units == 0.0
 
 
--- a/packages/endive_core/tests/test_outliers.py
+++ b/packages/endive_core/tests/test_outliers.py
@@ -130,8 +130,8 @@
     and each of its probes would be one more caller's failure."""
     made = detector([0.1] * 5)
     made.ejection = ClusterEjection()
-    made.ejection.hear("b", {"s2": 9}, 1.5)
-    made.ejection.hear("c", {"s2": 9}, 1.5)
+    made.ejection.receive("b", {"s2": 9}, 1.5)
+    made.ejection.receive("c", {"s2": 9}, 1.5)
     made.update_outliers(2.0)
     assert "s2" not in made.servers.available[Tier.WITHIN_SHARE].positions
     assert made.probe(4.5) is None
--- a/packages/endive_core/tests/test_sharing.py
+++ b/packages/endive_core/tests/test_sharing.py
@@ -27,7 +27,7 @@
         for side in self.sides:
             for sender in side:
                 for receiver in side - {sender}:
-                    self.nodes[receiver].hear(
+                    self.nodes[receiver].receive(
                         SpendingOrigin(str(sender), 1, self.tellings, age_s=now),
                         dict(self.nodes[sender].tell()),
                         now,
@@ -92,7 +92,7 @@
 
 def test_a_node_that_said_it_stopped_gives_its_part_back_at_once():
     made = SharedLimits(0.0)
-    made.hear(SpendingOrigin("other", 1, 1, 1.0), {}, 1.0)
+    made.receive(SpendingOrigin("other", 1, 1, 1.0), {}, 1.0)
     made.remove_peer("other")
     assert made.part(5.0) == 1.0
 
@@ -101,7 +101,7 @@
     """A node starts anew and hears what the others have spent in an hour. Taken off at
     once, it would refuse the organisation's callers for an hour."""
     made = SharedLimits(0.0)
-    made.hear(SpendingOrigin("old", 1, 18_000, 3600.0), {"o": 1e9}, 1.0)
+    made.receive(SpendingOrigin("old", 1, 18_000, 3600.0), {"o": 1e9}, 1.0)
     assert made.wait_s("o", 1.0, 1.0, rate=RATE, burst=BURST) == 0.0
 
 
@@ -110,15 +110,15 @@
     seconds later, when they have told a part of their rounds thirty times. Were what
     these had spent not counted, it would be let through twice."""
     made = SharedLimits(0.0)
-    made.hear(SpendingOrigin("p", 1, 30, 2.5), {"o": 600.0}, 2.2)
+    made.receive(SpendingOrigin("p", 1, 30, 2.5), {"o": 600.0}, 2.2)
     assert made.allowances["o"].units == -600.0
 
 
 def test_a_restarted_peer_counts_from_zero():
     made = SharedLimits(0.0)
-    made.hear(SpendingOrigin("p", 1, 100, 20.0), {"o": 5000.0}, 1.0)
-    made.hear(SpendingOrigin("p", 2, 1, 0.1), {"o": 10.0}, 1.5)
-    made.hear(SpendingOrigin("p", 2, 2, 0.3), {"o": 10.0}, 1.7)
+    made.receive(SpendingOrigin("p", 1, 100, 20.0), {"o": 5000.0}, 1.0)
+    made.receive(SpendingOrigin("p", 2, 1, 0.1), {"o": 10.0}, 1.5)
+    made.receive(SpendingOrigin("p", 2, 2, 0.3), {"o": 10.0}, 1.7)
     assert made.allowances["o"].units == -10.0
 
 
--- a/packages/endive_core/tests/test_suspicions.py
+++ b/packages/endive_core/tests/test_suspicions.py
@@ -43,7 +43,7 @@
             told = fleet[teller].tell(now)
             for other in range(nodes):
                 if other != teller:
-                    fleet[other].hear(str(teller), told, now)
+                    fleet[other].receive(str(teller), told, now)
         if tick % 50 == 0:
             suspects[number] = fleet[number].suspects(SERVERS, now)
             for other in range(nodes):
@@ -75,29 +75,29 @@
     """A fault that all share, such as bad requests, would else leave the load to a few
     servers, one after the other."""
     made = ClusterEjection()
-    made.hear("b", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
-    made.hear("c", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
-    made.hear("d", {"s1": int(RATIO)}, 10.0)
+    made.receive("b", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
+    made.receive("c", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
+    made.receive("d", {"s1": int(RATIO)}, 10.0)
     assert made.suspects(SERVERS, 10.1) == set()
 
 
 def test_at_most_a_part_of_the_servers_is_suspected():
     made = ClusterEjection()
-    made.hear("b", dict.fromkeys(SERVERS[:8], 1000), 10.0)
-    made.hear("c", dict.fromkeys(SERVERS[:8], 1000), 10.0)
-    made.hear("d", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
-    made.hear("e", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
+    made.receive("b", dict.fromkeys(SERVERS[:8], 1000), 10.0)
+    made.receive("c", dict.fromkeys(SERVERS[:8], 1000), 10.0)
+    made.receive("d", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
+    made.receive("e", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
     assert len(made.suspects(SERVERS, 10.1)) <= MOST_SHARE * len(SERVERS)
 
 
 def test_a_suspect_is_tried_again_and_longer_avoided_if_it_still_fails():
     made = ClusterEjection()
-    made.hear("b", {"s1": 9}, 10.0)
+    made.receive("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3)
     assert made.suspects(SERVERS, 10.1) == {"s1"}
     tried = 10.1 + HOLD_S + 0.1
     assert made.suspects(SERVERS, tried) == set()
-    made.hear("b", {"s1": 9}, tried)
+    made.receive("b", {"s1": 9}, tried)
     failed(made, "s1", 3, tried)
     assert made.suspects(SERVERS, tried + 0.1) == {"s1"}
     assert made.suspects(SERVERS, tried + HOLD_S + 1.0) == {"s1"}
@@ -106,7 +106,7 @@
 
 def test_what_a_node_told_long_ago_counts_no_more():
     made = ClusterEjection()
-    made.hear("b", {"s1": 9}, 10.0)
+    made.receive("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3, 10.0 + WINDOW_S)
     assert made.suspects(SERVERS, 10.1 + WINDOW_S) == set()
 
@@ -143,7 +143,7 @@
     told = fleet[number].tell(now)
     for other, node in enumerate(fleet):
         if other != number:
-            node.hear(str(number), told, now)
+            node.receive(str(number), told, now)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -159,7 +159,7 @@
     servers = FEW_SERVERS[: LEAST_SERVERS - 1]
     made = ClusterEjection()
     failed(made, servers[0], LEAST_FAILURES, now=1.0)
-    made.hear("other", {servers[0]: LEAST_FAILURES}, 1.0)
+    made.receive("other", {servers[0]: LEAST_FAILURES}, 1.0)
     assert made.suspects(servers, 1.0) == set()
 
 
--- a/packages/endive_gateway/src/endive_gateway/following.py
+++ b/packages/endive_gateway/src/endive_gateway/following.py
@@ -303,7 +303,7 @@
             changes = pack_changes(self.changes)
         return ServerNews(self.floor, self.next, changes)
 
-    def hear(self, news: ServerNews) -> None:
+    def receive(self, news: ServerNews) -> None:
         """Take over what a reader read, if it joins what this node knows.
 
         What happened in between, if it doesn't, may be a server that leaves: when a
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -98,7 +98,7 @@
         self.documents = DocumentExchange(context, self.live)
         self.list = NodeList(context, self._take_listed)
         self.urgent = Event()
-        self.datagrams = DatagramPort("tellings", DECODER, self.hear)
+        self.datagrams = DatagramPort("tellings", DECODER, self.receive)
         self.loops: list[gevent.Greenlet] = []
         self.servers: ServerFollower | None = None
         self.configuration: ConfigurationFollower | None = None
@@ -294,7 +294,7 @@
 
     # Hearing
 
-    def hear(self, telling: "Telling", address: str) -> None:
+    def receive(self, telling: "Telling", address: str) -> None:
         """Take over what another node tells."""
         peer = self._add(address)
         if peer is None:
@@ -311,20 +311,20 @@
         context = self.context
         context.reported = max(context.reported, telling.reported)
         self.see_duty_end(telling.duty_end)
-        context.true_time.hear(address, telling.wall_ms / 1000)
+        context.true_time.receive(address, telling.wall_ms / 1000)
         spender = SpendingOrigin(address, *age, telling.age_s)
-        context.limits.hear(spender, telling.spent, now)
-        context.meter.hear(address, telling.incarnation, telling.windows)
+        context.limits.receive(spender, telling.spent, now)
+        context.meter.receive(address, telling.incarnation, telling.windows)
         for fingerprint, server, age_s in telling.crashes:
             context.placer.crashes.add(Crash(fingerprint, server, now - age_s))
-        context.placer.ejection.hear(address, telling.failing, now)
-        context.placer.backlogs.hear(address, telling.starting, now)
+        context.placer.ejection.receive(address, telling.failing, now)
+        context.placer.backlogs.receive(address, telling.starting, now)
         if telling.version < 0 <= context.version:
             self._greet(peer)
         if telling.version > context.version:
             self.documents.pull(self.port + 1, alone=self.reads_alone())
         if telling.news is not None and self.servers is not None:
-            self.servers.hear(telling.news)
+            self.servers.receive(telling.news)
         if self.configuration is not None:
             self.configuration.hear_proof(telling.version, telling.proof_age_s)
         if telling.gone:
--- a/packages/endive_gateway/src/endive_gateway/prompts.py
+++ b/packages/endive_gateway/src/endive_gateway/prompts.py
@@ -46,7 +46,7 @@
         self.others = others
         self.now = now
         self.datagrams = DatagramPort(
-            "prompts", msgspec.msgpack.Decoder(Prompt), self.hear
+            "prompts", msgspec.msgpack.Decoder(Prompt), self.receive
         )
 
     def announce(self, server: str, tokens: float, server_s: float) -> None:
@@ -60,6 +60,6 @@
         if server_s >= NOTED_S:
             self.datagrams.send(Prompt(server, tokens), self.others())
 
-    def hear(self, prompt: Prompt, address: str) -> None:
+    def receive(self, prompt: Prompt, address: str) -> None:
         """Count another node's prompt."""
         self.backlogs.add(address, prompt.server, prompt.tokens, self.now())
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -220,7 +220,7 @@
         else:
             self._send(Notes([self._own(organisation)]), [counting])
 
-    def hear(self, entries: list[Spending]) -> None:
+    def receive(self, entries: list[Spending]) -> None:
         """Take over what another node notes."""
         limits = self.context.limits
         now = time.monotonic()
@@ -290,7 +290,7 @@
         """Take over what another node sent."""
         match message:
             case Notes(entries):
-                self.hear(entries)
+                self.receive(entries)
             case Ask():
                 self.answer(message)
             case Grant(number, wait_s):
--- a/packages/endive_gateway/tests/test_duties.py
+++ b/packages/endive_gateway/tests/test_duties.py
@@ -195,7 +195,7 @@
     node = Node("a", store, cloud)
     window = int(WALL // WINDOW_S)
     begin(node, window, 3)
-    node.context.meter.hear("b", 1, {window: {"o": 2, "p": 1}})
+    node.context.meter.receive("b", 1, {window: {"o": 2, "p": 1}})
     node.step()
     node.at(WALL + WINDOW_S + 2)
     for _ in range(4):
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -51,7 +51,7 @@
 
 
 def test_what_a_peer_tells_is_taken_over(peers):
-    peers.hear(telling(), "127.0.0.2")
+    peers.receive(telling(), "127.0.0.2")
     context = peers.context
     assert context.meter.total(7) == {"o": 3}
     assert context.reported == 4
@@ -60,16 +60,16 @@
 
 
 def test_a_telling_that_was_overtaken_is_dropped(peers):
-    peers.hear(telling(sequence=5, fence=3), "127.0.0.2")
-    peers.hear(telling(sequence=4, fence=0), "127.0.0.2")
+    peers.receive(telling(sequence=5, fence=3), "127.0.0.2")
+    peers.receive(telling(sequence=4, fence=0), "127.0.0.2")
     assert peers.known["127.0.0.2"].fence == 3
-    peers.hear(telling(incarnation=2, sequence=1, fence=0), "127.0.0.2")
+    peers.receive(telling(incarnation=2, sequence=1, fence=0), "127.0.0.2")
     assert peers.known["127.0.0.2"].fence == 0
 
 
 def test_a_peer_that_stopped_is_forgotten_at_once(peers):
-    peers.hear(telling(), "127.0.0.2")
-    peers.hear(telling(sequence=2, gone=True), "127.0.0.2")
+    peers.receive(telling(), "127.0.0.2")
+    peers.receive(telling(sequence=2, gone=True), "127.0.0.2")
     assert not peers.known
     assert peers.context.limits.part(time.monotonic() + 5) == 1.0
 
@@ -78,7 +78,7 @@
     """Nodes start together, and one hears a third of the others at first. It must
     choose from the same nodes as they who adds up an organisation's spending."""
     peers._add("127.0.0.2")
-    peers.hear(telling(), "127.0.0.3")
+    peers.receive(telling(), "127.0.0.3")
     assert peers.believed() == ["127.0.0.2", "127.0.0.3"]
     peers.known["127.0.0.2"].known_at -= peers.heard_s
     assert peers.believed() == ["127.0.0.3"]
@@ -95,7 +95,7 @@
     placer = peers.context.placer
     placer.ejection.failed("i-1", time.monotonic())
     assert peers._telling(gone=False).failing == {"i-1": 1}
-    peers.hear(telling(failing={"i-1": 9}), "127.0.0.2")
+    peers.receive(telling(failing={"i-1": 9}), "127.0.0.2")
     servers = [f"i-{number}" for number in range(8)]
     assert placer.ejection.suspects(servers, time.monotonic()) == {"i-1"}
 
@@ -127,7 +127,7 @@
     asking.address = "127.0.0.4"
     serving.start()
     try:
-        asking.hear(telling(version=9), "127.0.0.1")
+        asking.receive(telling(version=9), "127.0.0.1")
         gevent.sleep(0.7)
     finally:
         serving.stop()
@@ -138,7 +138,7 @@
     """87 nodes tell each other every 0.9 s. Taken for silent between two tellings, they
     would leave parts of every limit to nodes that are there, and refuse callers."""
     peers._expect_tellings_each(0.87)
-    peers.hear(telling(), "127.0.0.2")
+    peers.receive(telling(), "127.0.0.2")
     now = time.monotonic()
     assert peers.context.limits.part(now + 2.0) == 1.0
     assert peers.context.limits.part(now + 3.0) == 0.5
@@ -167,8 +167,8 @@
 
     peers.documents._pull_from = pull_from
     started = time.monotonic()
-    peers.hear(telling(version=9), "127.0.0.2")
-    peers.hear(telling(version=9, sequence=2), "127.0.0.2")
+    peers.receive(telling(version=9), "127.0.0.2")
+    peers.receive(telling(version=9, sequence=2), "127.0.0.2")
     gevent.sleep(0.2)
     assert len(asked) == 1
     assert asked[0] - started < 0.15
@@ -194,7 +194,7 @@
         starting.context.configure(make_table(version=9), b"9", "test")
 
     starting.documents._pull_from = pull_from
-    starting.hear(telling(version=9), "127.0.0.2")
+    starting.receive(telling(version=9), "127.0.0.2")
     started = time.monotonic()
     assert starting.await_first_configuration()
     assert pulled == ["b"]
@@ -226,8 +226,8 @@
     0.9 s later, and turn its callers away until then."""
     told = []
     peers.tell = told.extend
-    peers.hear(telling(version=-1), "127.0.0.2")
-    peers.hear(telling(version=1, node="c"), "127.0.0.3")
+    peers.receive(telling(version=-1), "127.0.0.2")
+    peers.receive(telling(version=1, node="c"), "127.0.0.3")
     assert [peer.address for peer in told] == ["127.0.0.2"]
 
 
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -90,9 +90,9 @@
     sees the whole tells them before they have let through a limit each."""
     counter.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
     spender, other = counter.others()[:2]
-    counter.hear([entry(spender, 30.0)])
+    counter.receive([entry(spender, 30.0)])
     assert not counter.sent
-    counter.hear([entry(other, 30.0)])
+    counter.receive([entry(other, 30.0)])
     ((entries, addresses),) = counter.sent
     assert {(e.address, e.units) for e in entries} == {(spender, 30.0), (other, 30.0)}
     assert sorted(addresses) == sorted(counter.others())
@@ -104,7 +104,7 @@
     listener = next(node for node in nodes if node != address)
     notes = make_notes(listener, [node for node in nodes if node != listener])
     for _ in range(2):
-        notes.hear([entry(address, 150.0), entry(listener, 9e9)])
+        notes.receive([entry(address, 150.0), entry(listener, 9e9)])
     limits = notes.context.limits
     assert limits.allowances["o"].units == -150.0
     assert not notes.sent
@@ -114,7 +114,7 @@
     """The spender stops between its note and the moment at which all are told."""
     counter.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
     spender = counter.others()[0]
-    counter.hear([entry(spender, 45.0)])
+    counter.receive([entry(spender, 45.0)])
     counter.context.limits.remove_peer(spender)
     spend(counter, 40.0)
     ((entries, _),) = counter.sent
--- a/tests/soak/launch.py
+++ b/tests/soak/launch.py
@@ -28,7 +28,7 @@
     """Let each node spend the whole of every limit."""
     from endive_core.sharing import SharedLimits
 
-    SharedLimits.hear = lambda self, *args, **options: None
+    SharedLimits.receive = lambda self, *args, **options: None
     SharedLimits.apply_update = lambda self, *args, **options: 0.0
     SharedLimits.part = lambda self, now: 1.0
 
