--- a/packages/endive_core/src/endive_core/metering.py
+++ b/packages/endive_core/src/endive_core/metering.py
@@ -37,7 +37,7 @@
         for old in sorted(self.own)[:-WINDOWS_KEPT]:
             del self.own[old]
 
-    def tell(self) -> dict[int, dict[str, int]]:
+    def own_totals(self) -> dict[int, dict[str, int]]:
         """Return this node's counts of the last two windows."""
         return {window: dict(self.own[window]) for window in sorted(self.own)[-2:]}
 
--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -136,7 +136,7 @@
         self.allowances: dict[str, Allowance] = {}
         self.kept: dict[str, Allowance] = {}
 
-    def tell(self) -> dict[str, float]:
+    def own_totals(self) -> dict[str, float]:
         """Return what this node has spent since it started, by organisation."""
         return self.spent
 
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -72,7 +72,7 @@
 
     def tell(self, node):
         node.tellings += 1
-        spent = dict(node.limits.tell())
+        spent = dict(node.limits.own_totals())
         for other in self.nodes.values():
             if other is not node:
                 self.later(
@@ -110,7 +110,7 @@
                 self.note(other, entries)
 
     def entry(self, counter, name):
-        spent = counter.limits.tell()
+        spent = counter.limits.own_totals()
         if name != counter.name:
             spent = counter.limits.peers[name].spent
         return name, spent["o"], self.nodes[name].tellings
@@ -132,7 +132,7 @@
             self.note(counter, [self.entry(node, node.name)])
 
     def grant(self, counter, node):
-        total = node.limits.tell().get("o", 0.0) + UNITS
+        total = node.limits.own_totals().get("o", 0.0) + UNITS
         spender = self.spender(node.name, node.tellings)
         wait_s = counter.limits.grant(
             spender, "o", total, self.now, rate=RATE, burst=BURST
--- a/packages/endive_core/tests/test_sharing.py
+++ b/packages/endive_core/tests/test_sharing.py
@@ -29,7 +29,7 @@
                 for receiver in side - {sender}:
                     self.nodes[receiver].receive(
                         SpendingOrigin(str(sender), 1, self.tellings, age_s=now),
-                        dict(self.nodes[sender].tell()),
+                        dict(self.nodes[sender].own_totals()),
                         now,
                     )
 
@@ -137,7 +137,7 @@
     before = made.allowances["o"].units
     made.refund("o", 500.0)
     assert made.allowances["o"].units == before + 500.0
-    assert made.tell()["o"] == 0.0
+    assert made.own_totals()["o"] == 0.0
 
 
 def test_callers_who_return_after_a_power_loss_are_not_refused_below_the_limit():
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -261,9 +261,9 @@
             wall_ms=int(time.time() * 1000),
             version=context.version,
             gone=gone,
-            spent=context.limits.tell(),
+            spent=context.limits.own_totals(),
             work=context.work.tell(now),
-            windows=context.meter.tell(),
+            windows=context.meter.own_totals(),
             crashes=[
                 (crash.fingerprint, crash.server, now - crash.at) for crash in recent
             ],
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -273,7 +273,7 @@
         return Spending(address, peer.incarnation, tellings, age_s, organisation, units)
 
     def _own(self, organisation: str, asked: float = 0.0) -> Spending:
-        units = self.context.limits.tell().get(organisation, 0.0) + asked
+        units = self.context.limits.own_totals().get(organisation, 0.0) + asked
         return Spending(
             self.address,
             self.context.incarnation,
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -216,7 +216,7 @@
 def assert_two_pass(nodes, waits):
     assert waits.count(0.0) == 2
     assert all(0.0 < wait < 1.0 for wait in waits if wait)
-    spent = [notes.context.limits.tell().get("o", 0.0) for notes in nodes]
+    spent = [notes.context.limits.own_totals().get("o", 0.0) for notes in nodes]
     assert sorted(spent)[-3:] == [0.0, 60.0, 60.0]
 
 
@@ -259,7 +259,7 @@
     waits = waits_of(takes)
     assert waits.count(0.0) <= 2
     assert all(0.0 < wait < 1.0 for wait in waits if wait)
-    spent = [notes.context.limits.tell().get("o", 0.0) for notes in nodes]
+    spent = [notes.context.limits.own_totals().get("o", 0.0) for notes in nodes]
     assert sum(spent) <= 120.0
 
 
@@ -286,7 +286,7 @@
     asker = asker_of(fleet)
     asker.dead.update(MANY)
     assert asker.take(TERMS, 60.0) > 0.0
-    assert asker.context.limits.tell().get("o", 0.0) == 0.0
+    assert asker.context.limits.own_totals().get("o", 0.0) == 0.0
     assert not asker.answers
 
 
@@ -296,11 +296,11 @@
     counter = fleet[counting_one(MANY)]
     total = Spending("127.0.9.9", 3, 5000, 3600.0, "o", 1e6)
     counter.answer(Ask(1, total))
-    assert counter.context.limits.tell().get("o", 0.0) == 0.0
+    assert counter.context.limits.own_totals().get("o", 0.0) == 0.0
     assert "127.0.9.9" not in counter.context.limits.peers
 
 
 def test_an_answer_that_comes_too_late_changes_nothing(fleet):
     asker = asker_of(fleet)
     asker.take_message(Grant(99, 0.0), "127.0.1.0")
-    assert asker.context.limits.tell().get("o", 0.0) == 0.0
+    assert asker.context.limits.own_totals().get("o", 0.0) == 0.0
