--- a/packages/endive_core/src/endive_core/suspicions.py
+++ b/packages/endive_core/src/endive_core/suspicions.py
@@ -60,7 +60,7 @@
         """Count a failure that this node met at `server`."""
         self.own.append((now, server))
 
-    def tell(self, now: float) -> dict[str, int]:
+    def own_counts(self, now: float) -> dict[str, int]:
         """Return this node's failures of late by server, for the other nodes."""
         while self.own and self.own[0][0] < now - WINDOW_S:
             self.own.popleft()
@@ -102,7 +102,7 @@
                 continue
             totals.update({s: n for s, n in counts.items() if s in known})
             nodes.update(known & counts.keys())
-        own = {s: n for s, n in self.tell(now).items() if s in known}
+        own = {s: n for s, n in self.own_counts(now).items() if s in known}
         totals.update(own)
         nodes.update(own.keys())
         return totals, nodes
--- a/packages/endive_core/tests/test_suspicions.py
+++ b/packages/endive_core/tests/test_suspicions.py
@@ -40,7 +40,7 @@
         number = random.randrange(nodes)
         if telling and tick % int(TELL_S / nodes / each_s + 1) == 0:
             teller = (tick // int(TELL_S / nodes / each_s + 1)) % nodes
-            told = fleet[teller].tell(now)
+            told = fleet[teller].own_counts(now)
             for other in range(nodes):
                 if other != teller:
                     fleet[other].receive(str(teller), told, now)
@@ -115,7 +115,7 @@
     made = ClusterEjection()
     for server in SERVERS:
         made.failed(server, 1.0)
-    assert len(made.tell(1.0)) == MOST_TOLD
+    assert len(made.own_counts(1.0)) == MOST_TOLD
 
 
 def failures_of_few(seed, failing):
@@ -140,7 +140,7 @@
 
 
 def tell_others(fleet, number, now):
-    told = fleet[number].tell(now)
+    told = fleet[number].own_counts(now)
     for other, node in enumerate(fleet):
         if other != number:
             node.receive(str(number), told, now)
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -271,7 +271,7 @@
             reported=context.reported,
             news=self.servers.news() if self.servers and self.is_reader() else None,
             duty_end=self.duty_end,
-            failing=context.placer.ejection.tell(now),
+            failing=context.placer.ejection.own_counts(now),
             age_s=now - context.started_at,
             starting=context.placer.own_backlogs(),
             proof_age_s=self.configuration.proof_age_s() if self.configuration else -1,
