--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -262,7 +262,7 @@
             version=context.version,
             gone=gone,
             spent=context.limits.own_totals(),
-            work=context.work.tell(now),
+            work=context.work.update(now),
             windows=context.meter.own_totals(),
             crashes=[
                 (crash.fingerprint, crash.server, now - crash.at) for crash in recent
--- a/packages/endive_gateway/src/endive_gateway/working.py
+++ b/packages/endive_gateway/src/endive_gateway/working.py
@@ -30,7 +30,7 @@
         """Take over the part of a server's slots that this node's requests hold."""
         self.running[service] = slots
 
-    def tell(self, now: float) -> dict[str, float]:
+    def update(self, now: float) -> dict[str, float]:
         """Return the smoothed work by service."""
         passed = max(1e-3, now - self.told_at)
         weight = 1 - math.exp(-passed / WORK_MEMORY_S)
