--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -109,7 +109,7 @@
         """Start listening and telling."""
         self.datagrams.start(self.address, self.port)
         self.documents.start(self.address, self.port + 1)
-        loops = (self._tell_all, self.list.follow)
+        loops = (self._broadcast_loop, self.list.follow)
         self.loops = [gevent.spawn(loop) for loop in loops]
 
     def stop(self) -> None:
@@ -197,7 +197,7 @@
 
     # Telling
 
-    def _tell_all(self) -> None:
+    def _broadcast_loop(self) -> None:
         while True:
             nodes = len(self.known) + 1
             gap = max(BROADCAST_INTERVAL_S, BROADCAST_INTERVAL_PER_NODE_S * nodes)
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -238,7 +238,7 @@
         peers._add(f"127.0.1.{number}")
     told = []
     peers.tell = lambda some: told.extend(peer.address for peer in some)
-    loop = gevent.spawn(peers._tell_all)
+    loop = gevent.spawn(peers._broadcast_loop)
     gevent.sleep(0.02)
     told.clear()
     peers.hasten()
