--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -176,7 +176,7 @@
         """Tell a node that has no configuration yet that this one has."""
         holders = 1 + sum(other.version >= 0 for other in self.live())
         if self.context.random.random() < GREETINGS / holders:
-            self.tell([peer])
+            self.send_state([peer])
 
     def _take_listed(self, addresses: list[str]) -> None:
         """Take over which nodes the list names, and tell them of this one."""
@@ -185,7 +185,7 @@
             if self._add(address) is not None and not known:
                 self.context.limits.add_peer(address, time.monotonic())
         self.context.set_nodes(len(self.known) + 1)
-        self.tell()
+        self.send_state()
 
     def _add(self, address: str) -> Peer | None:
         if address == self.address:
@@ -229,7 +229,7 @@
         """
         peers = list(self.known.values())
         for first in range(0, max(1, len(peers)), AT_ONCE):
-            self.tell(peers[first : first + AT_ONCE])
+            self.send_state(peers[first : first + AT_ONCE])
             if self.urgent.wait(step_s):
                 return
 
@@ -242,7 +242,9 @@
         if self.is_reader() and not self.reads_alone():
             self.urgent.set()
 
-    def tell(self, peers: list[Peer] | None = None, *, gone: bool = False) -> None:
+    def send_state(
+        self, peers: list[Peer] | None = None, *, gone: bool = False
+    ) -> None:
         """Send this node's figures to `peers`, or to all others."""
         self.sequence += 1
         told = list(self.known.values()) if peers is None else peers
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -105,7 +105,7 @@
     one, two = (Peers(make_context(make_table(), store=store, node=n)) for n in "ab")
     for peers, address in ((one, "127.0.0.2"), (two, "127.0.0.3")):
         peers.address = peers.list.address = address
-    one.tell = two.tell = lambda *_arguments, **_options: None
+    one.send_state = two.send_state = lambda *_arguments, **_options: None
     listing = [gevent.spawn(peers.list.follow) for peers in (one, two)]
     gevent.sleep(0.05)
     gevent.killall(listing)
@@ -213,7 +213,7 @@
     """Few nodes start, and the store gives the list of nodes in milliseconds. Waiting
     out the longest time for it, each turns its callers away for a tenth of a second."""
     peers = Peers(make_context(make_table(), store=MemoryStore()))
-    peers.tell = lambda **_options: None
+    peers.send_state = lambda **_options: None
     listing = gevent.spawn(peers.list.follow)
     started = time.monotonic()
     assert not peers.await_first_configuration()
@@ -225,7 +225,7 @@
     """A node that starts would hear of one only with the next round of tellings, up to
     0.9 s later, and turn its callers away until then."""
     told = []
-    peers.tell = told.extend
+    peers.send_state = told.extend
     peers.receive(telling(version=-1), "127.0.0.2")
     peers.receive(telling(version=1, node="c"), "127.0.0.3")
     assert [peer.address for peer in told] == ["127.0.0.2"]
@@ -237,7 +237,7 @@
     for number in range(80):
         peers._add(f"127.0.1.{number}")
     told = []
-    peers.tell = lambda some: told.extend(peer.address for peer in some)
+    peers.send_state = lambda some: told.extend(peer.address for peer in some)
     loop = gevent.spawn(peers._broadcast_loop)
     gevent.sleep(0.02)
     told.clear()
@@ -262,7 +262,7 @@
             raise StoreOutcomeUnknownError("the answer was lost")
 
     store.fault = lose_writes
-    node.tell = lambda **_options: None
+    node.send_state = lambda **_options: None
     listing = gevent.spawn(node.list.follow)
     gevent.sleep(0.05)
     listing.kill()
