--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -24,7 +24,7 @@
 from endive_gateway.following import ServerFollower
 from endive_gateway.listing import NodeList
 from endive_gateway.nodes import Peer
-from endive_gateway.tellings import DECODER, Telling
+from endive_gateway.tellings import DECODER, StateMessage
 
 BROADCAST_INTERVAL_S = 0.2
 BROADCAST_INTERVAL_PER_NODE_S = 0.01
@@ -250,13 +250,13 @@
         told = list(self.known.values()) if peers is None else peers
         self.datagrams.send(self._telling(gone), [peer.address for peer in told])
 
-    def _telling(self, gone: bool) -> "Telling":
+    def _telling(self, gone: bool) -> "StateMessage":
         context = self.context
         for service, parts in context.placer.occupied_servers().items():
             context.work.set_running(service, parts)
         now = time.monotonic()
         recent = context.placer.crashes.recent(now, limit=MOST_CRASHES)
-        return Telling(
+        return StateMessage(
             node=self.me,
             incarnation=context.incarnation,
             sequence=self.sequence,
@@ -296,7 +296,7 @@
 
     # Hearing
 
-    def receive(self, telling: "Telling", address: str) -> None:
+    def receive(self, telling: "StateMessage", address: str) -> None:
         """Take over what another node tells."""
         peer = self._add(address)
         if peer is None:
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -10,7 +10,7 @@
 from endive_gateway.exceptions import StoreOutcomeUnknownError
 from endive_gateway.interfaces import Topic
 from endive_gateway.peers import Peers
-from endive_gateway.tellings import DECODER, Telling
+from endive_gateway.tellings import DECODER, StateMessage
 from gateway_builders import make_context, make_table
 from store_builders import MemoryStore, store_down
 
@@ -30,7 +30,7 @@
         "fence": 0,
         "reported": 4,
     }
-    return Telling(**(values | options))
+    return StateMessage(**(values | options))
 
 
 @pytest.fixture
