--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from endive_core.backlogs import Backlogs, told_tokens
+from endive_core.backlogs import Backlogs, largest_backlogs
 from endive_core.calls import Refusal, Ticket
 from endive_core.capacity import CapacityView, Pool, PoolState, desired_servers
 from endive_core.load_sizing import TARGET_UTILISATION, LoadMeter
@@ -254,7 +254,7 @@
 
     def _tell(self, node: Node, gap_s: float) -> None:
         loads = node.scheduler.servers.servers.values()
-        told = told_tokens({load.id: load.starting_tokens for load in loads})
+        told = largest_backlogs({load.id: load.starting_tokens for load in loads})
         for other in self.nodes:
             if other is not node:
                 other.backlogs.receive(node.name, told, self.now)
--- a/packages/endive_core/src/endive_core/backlogs.py
+++ b/packages/endive_core/src/endive_core/backlogs.py
@@ -71,7 +71,7 @@
         return max(0.0, total - age_s * tokens_per_s)
 
 
-def told_tokens(tokens: Mapping[str, float]) -> dict[str, float]:
+def largest_backlogs(tokens: Mapping[str, float]) -> dict[str, float]:
     """Return what to tell of this node's own tokens by server."""
     large = {name: count for name, count in tokens.items() if count >= LEAST_TOKENS}
     if len(large) <= MOST_TOLD:
--- a/packages/endive_core/tests/test_backlogs.py
+++ b/packages/endive_core/tests/test_backlogs.py
@@ -3,7 +3,7 @@
 
 import pytest
 from core_builders import call, dispatch_all, view
-from endive_core.backlogs import FORGOTTEN_S, MOST_TOLD, Backlogs, told_tokens
+from endive_core.backlogs import FORGOTTEN_S, MOST_TOLD, Backlogs, largest_backlogs
 from endive_core.calls import Call
 from endive_core.policy import Policy
 from endive_core.scheduler import Scheduler
@@ -59,10 +59,10 @@
 
 def test_few_and_large_ones_are_told():
     own = {f"s{n}": 1_000.0 + n for n in range(100)} | {"small": 10.0}
-    told = told_tokens(own)
+    told = largest_backlogs(own)
     assert len(told) == MOST_TOLD
     assert min(told.values()) == 1_000.0 + 100 - MOST_TOLD
-    assert told_tokens({"small": 10.0}) == {}
+    assert largest_backlogs({"small": 10.0}) == {}
 
 
 def late_part(*, telling: bool, seconds: float = 60.0) -> float:
@@ -111,7 +111,7 @@
             own = {load.id: load.starting_tokens for load in loads}
             for other in range(NODES):
                 if telling and other != given:
-                    backlogs[other].receive(str(given), told_tokens(own), now)
+                    backlogs[other].receive(str(given), largest_backlogs(own), now)
     return late / asked
 
 
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from endive_core.backlogs import Backlogs, told_tokens
+from endive_core.backlogs import Backlogs, largest_backlogs
 from endive_core.calls import Call, Retry, Ticket
 from endive_core.crashes import CrashTable
 from endive_core.ejection import ClusterEjection
@@ -149,7 +149,7 @@
             if scheduler.prefill is not None:
                 for server in scheduler.servers.servers.values():
                     tokens[server.id] = server.starting_tokens
-        return told_tokens(tokens)
+        return largest_backlogs(tokens)
 
     def server_s(self, service: str, tokens: float) -> float:
         """Return a server's time for `tokens` of a prompt, seconds."""
