--- a/packages/endive_core/src/endive_core/failures.py
+++ b/packages/endive_core/src/endive_core/failures.py
@@ -77,7 +77,9 @@
                 del self.blamed[next(iter(self.blamed))]
         return ticket in self.blamed[crashed]
 
-    def blame(self, server: ServerLoad, reason: RetryReason, now: float) -> None:
+    def penalise_server(
+        self, server: ServerLoad, reason: RetryReason, now: float
+    ) -> None:
         """Give a server that failed no work for a while."""
         if reason is RetryReason.SERVER_BUSY:
             self.servers.busy(server)
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -322,7 +322,7 @@
             self.retries[reason] += 1
         return decision
 
-    def blame(
+    def count_failure(
         self, ticket: Ticket, now: float, reason: RetryReason, *, started: bool
     ) -> None:
         """Count a failed attempt against its server though there is no further one.
@@ -342,7 +342,7 @@
     ) -> None:
         if server is None:
             return
-        self.failures.blame(server, reason, now)
+        self.failures.penalise_server(server, reason, now)
         if started and reason is not RetryReason.SERVER_LEAVING:
             self.outliers.failed(server)
 
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -207,7 +207,7 @@
         """Count a failed attempt after which there is no further one."""
         scheduler = self.owners[ticket]
         reason = self._weighed(ticket, reason, started=started)
-        scheduler.blame(ticket, self.now(), reason, started=started)
+        scheduler.count_failure(ticket, self.now(), reason, started=started)
 
     def _weighed(
         self, ticket: Ticket, reason: RetryReason, *, started: bool
