--- a/packages/endive_core/src/endive_core/failures.py
+++ b/packages/endive_core/src/endive_core/failures.py
@@ -53,7 +53,7 @@
             )
         return self.budgets[deployment]
 
-    def suspect(self, ticket: Ticket, crashed: str, now: float) -> None:
+    def attribute_crash(self, ticket: Ticket, crashed: str, now: float) -> None:
         """Count a server's crash against `ticket` if it may have caused it."""
         if crashed and self._is_blamed(ticket, crashed):
             self.crashes.add(Crash(ticket.call.fingerprint, crashed, now))
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -307,7 +307,7 @@
             If the server crashed: its name with the number of its incarnation.
         """
         server = self._load_of(ticket)
-        self.failures.suspect(ticket, crashed, now)
+        self.failures.attribute_crash(ticket, crashed, now)
         if reason is not RetryReason.SERVER_BUSY:
             ticket.avoid.add(ticket.server)
         self._release(ticket, now)
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -236,7 +236,7 @@
             return
         log_event("server_crashed", server=view.id, request=ticket.call.request_id)
         name = crash_name(view.id, self.wall_time())
-        self.owners[ticket].failures.suspect(ticket, name, self.now())
+        self.owners[ticket].failures.attribute_crash(ticket, name, self.now())
 
 
 def _type(service: Service) -> ServiceType:
