--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -253,7 +253,7 @@
         ticket.first_token_at = now
         server = self._load_of(ticket)
         if server is not None:
-            self.servers.answered(server)
+            self.servers.record_success(server)
             self._no_longer_starting(ticket, server)
         self.first_tokens.learn(
             ticket,
--- a/packages/endive_core/src/endive_core/servers.py
+++ b/packages/endive_core/src/endive_core/servers.py
@@ -306,7 +306,7 @@
         self.refresh(server)
         return True
 
-    def answered(self, server: ServerLoad) -> None:
+    def record_success(self, server: ServerLoad) -> None:
         """Note that a server works."""
         if server.failures:
             server.failures = 0
--- a/packages/endive_core/tests/test_servers.py
+++ b/packages/endive_core/tests/test_servers.py
@@ -78,7 +78,7 @@
     made.refresh(server)
     made.adjust_in_flight(server, 1, 1.0)
     assert server.id not in made.available[Tier.WITHIN_SHARE].positions
-    made.answered(server)
+    made.record_success(server)
     assert server.id in made.available[Tier.WITHIN_SHARE].positions
 
 
@@ -98,7 +98,7 @@
     made.set_servers([view("s1", slots=32)])
     gone.paused = False
     made.refresh(gone)
-    made.answered(gone)
+    made.record_success(gone)
     for members in (made.accepting, *made.available.values()):
         assert "s0" not in members.positions
 
