--- a/packages/endive_core/src/endive_core/suspicions.py
+++ b/packages/endive_core/src/endive_core/suspicions.py
@@ -74,7 +74,7 @@
         else:
             self.told.pop(node, None)
 
-    def suspects(self, servers: Collection[str], now: float) -> set[str]:
+    def ejected(self, servers: Collection[str], now: float) -> set[str]:
         """Return those of `servers` that get no work for now."""
         totals, nodes = self._totals(servers, now)
         total = sum(totals.values())
--- a/packages/endive_core/tests/test_suspicions.py
+++ b/packages/endive_core/tests/test_suspicions.py
@@ -45,9 +45,9 @@
                 if other != teller:
                     fleet[other].receive(str(teller), told, now)
         if tick % 50 == 0:
-            suspects[number] = fleet[number].suspects(SERVERS, now)
+            suspects[number] = fleet[number].ejected(SERVERS, now)
             for other in range(nodes):
-                suspects[other] = fleet[other].suspects(SERVERS, now)
+                suspects[other] = fleet[other].ejected(SERVERS, now)
         open_ = [s for s in SERVERS if s not in suspects[number]]
         server = random.choice(open_)
         asked += 1
@@ -68,7 +68,7 @@
 def test_one_nodes_failures_alone_suspect_nobody():
     made = ClusterEjection()
     failed(made, "s1", 50)
-    assert made.suspects(SERVERS, 10.1) == set()
+    assert made.ejected(SERVERS, 10.1) == set()
 
 
 def test_where_all_servers_fail_alike_none_is_suspected():
@@ -78,7 +78,7 @@
     made.receive("b", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
     made.receive("c", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
     made.receive("d", {"s1": int(RATIO)}, 10.0)
-    assert made.suspects(SERVERS, 10.1) == set()
+    assert made.ejected(SERVERS, 10.1) == set()
 
 
 def test_at_most_a_part_of_the_servers_is_suspected():
@@ -87,28 +87,28 @@
     made.receive("c", dict.fromkeys(SERVERS[:8], 1000), 10.0)
     made.receive("d", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
     made.receive("e", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
-    assert len(made.suspects(SERVERS, 10.1)) <= MOST_SHARE * len(SERVERS)
+    assert len(made.ejected(SERVERS, 10.1)) <= MOST_SHARE * len(SERVERS)
 
 
 def test_a_suspect_is_tried_again_and_longer_avoided_if_it_still_fails():
     made = ClusterEjection()
     made.receive("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3)
-    assert made.suspects(SERVERS, 10.1) == {"s1"}
+    assert made.ejected(SERVERS, 10.1) == {"s1"}
     tried = 10.1 + HOLD_S + 0.1
-    assert made.suspects(SERVERS, tried) == set()
+    assert made.ejected(SERVERS, tried) == set()
     made.receive("b", {"s1": 9}, tried)
     failed(made, "s1", 3, tried)
-    assert made.suspects(SERVERS, tried + 0.1) == {"s1"}
-    assert made.suspects(SERVERS, tried + HOLD_S + 1.0) == {"s1"}
-    assert made.suspects(SERVERS, tried + 2 * HOLD_S + 1.0) == set()
+    assert made.ejected(SERVERS, tried + 0.1) == {"s1"}
+    assert made.ejected(SERVERS, tried + HOLD_S + 1.0) == {"s1"}
+    assert made.ejected(SERVERS, tried + 2 * HOLD_S + 1.0) == set()
 
 
 def test_what_a_node_told_long_ago_counts_no_more():
     made = ClusterEjection()
     made.receive("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3, 10.0 + WINDOW_S)
-    assert made.suspects(SERVERS, 10.1 + WINDOW_S) == set()
+    assert made.ejected(SERVERS, 10.1 + WINDOW_S) == set()
 
 
 def test_a_telling_stays_small():
@@ -130,7 +130,7 @@
                 told_at[number] += TOLD_EVERY_S
                 tell_others(fleet, number, now)
         node = random.choice(fleet)
-        suspects = node.suspects(FEW_SERVERS, now)
+        suspects = node.ejected(FEW_SERVERS, now)
         server = random.choice([s for s in FEW_SERVERS if s not in suspects])
         asked += 1
         if server in failing and random.random() < FAILING_SHARE:
@@ -160,7 +160,7 @@
     made = ClusterEjection()
     failed(made, servers[0], LEAST_FAILURES, now=1.0)
     made.receive("other", {servers[0]: LEAST_FAILURES}, 1.0)
-    assert made.suspects(servers, 1.0) == set()
+    assert made.ejected(servers, 1.0) == set()
 
 
 def test_two_failing_servers_of_three_keep_their_work():
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -97,7 +97,7 @@
     assert peers._telling(gone=False).failing == {"i-1": 1}
     peers.receive(telling(failing={"i-1": 9}), "127.0.0.2")
     servers = [f"i-{number}" for number in range(8)]
-    assert placer.ejection.suspects(servers, time.monotonic()) == {"i-1"}
+    assert placer.ejection.ejected(servers, time.monotonic()) == {"i-1"}
 
 
 def test_nodes_find_each_other_by_the_store():
