--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -223,7 +223,7 @@
             if now - peer.heard_at > FORGOTTEN_S:
                 del self.peers[node]
 
-    def part(self, now: float) -> float:
+    def reachable_share(self, now: float) -> float:
         """Return the part of each limit for the nodes that hear each other."""
         silent = sum(
             now - peer.heard_at > self.silence_timeout_s for peer in self.peers.values()
@@ -297,13 +297,13 @@
         return 0.0 if self.apply_update(spender, organisation, total, now) > 0 else None
 
     def _until_some(self, left: float, rate: float, now: float) -> float:
-        return 0.001 - left / (rate * self.part(now))
+        return 0.001 - left / (rate * self.reachable_share(now))
 
     def left(
         self, organisation: str, now: float, *, rate: float, burst: float
     ) -> tuple[float, float]:
         """Return the units left of a limit, and what it holds when full."""
-        part = self.part(now)
+        part = self.reachable_share(now)
         most = (burst + SLACK_PART * self.slack) * part
         allowance = self._allowance(organisation)
         allowance.refill(now, rate=rate * part, burst=most)
--- a/packages/endive_core/tests/test_sharing.py
+++ b/packages/endive_core/tests/test_sharing.py
@@ -85,16 +85,16 @@
 def test_a_node_that_is_gone_for_good_gives_its_part_back():
     made = SharedLimits(0.0)
     made.add_peer("other", 0.0)
-    assert made.part(0.1 + SILENCE_TIMEOUT_S) == 0.5
+    assert made.reachable_share(0.1 + SILENCE_TIMEOUT_S) == 0.5
     made.remove_silent_peers(FORGOTTEN_S + SILENCE_TIMEOUT_S + 1.0)
-    assert made.part(FORGOTTEN_S + 2.0) == 1.0
+    assert made.reachable_share(FORGOTTEN_S + 2.0) == 1.0
 
 
 def test_a_node_that_said_it_stopped_gives_its_part_back_at_once():
     made = SharedLimits(0.0)
     made.receive(SpendingOrigin("other", 1, 1, 1.0), {}, 1.0)
     made.remove_peer("other")
-    assert made.part(5.0) == 1.0
+    assert made.reachable_share(5.0) == 1.0
 
 
 def test_what_an_old_peer_spent_before_is_not_taken_again():
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -210,7 +210,7 @@
                 units=units,
                 rate=terms.rate,
                 wait_s=wait,
-                part=self.context.limits.part(self.now),
+                part=self.context.limits.reachable_share(self.now),
             )
             raise EndiveError(
                 ErrorKind.LIMIT_EXCEEDED,
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -71,7 +71,7 @@
     peers.receive(telling(), "127.0.0.2")
     peers.receive(telling(sequence=2, gone=True), "127.0.0.2")
     assert not peers.known
-    assert peers.context.limits.part(time.monotonic() + 5) == 1.0
+    assert peers.context.limits.reachable_share(time.monotonic() + 5) == 1.0
 
 
 def test_nodes_that_were_listed_are_believed_to_be_there_before_they_are_heard(peers):
@@ -140,8 +140,8 @@
     peers._expect_tellings_each(0.87)
     peers.receive(telling(), "127.0.0.2")
     now = time.monotonic()
-    assert peers.context.limits.part(now + 2.0) == 1.0
-    assert peers.context.limits.part(now + 3.0) == 0.5
+    assert peers.context.limits.reachable_share(now + 2.0) == 1.0
+    assert peers.context.limits.reachable_share(now + 3.0) == 0.5
     assert peers.heard_s > 2.5
 
 
--- a/tests/soak/launch.py
+++ b/tests/soak/launch.py
@@ -30,7 +30,7 @@
 
     SharedLimits.receive = lambda self, *args, **options: None
     SharedLimits.apply_update = lambda self, *args, **options: 0.0
-    SharedLimits.part = lambda self, now: 1.0
+    SharedLimits.reachable_share = lambda self, now: 1.0
 
 
 def say_not_run():
