--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -24,7 +24,7 @@
 from endive_core.queueing import FairQueue
 from endive_core.servers import Random, ServerLoad, ServerSet
 from endive_core.service_types import ServiceType
-from endive_core.shifting import Shift, plan_shifts
+from endive_core.shifting import StreamMove, plan_shifts
 from endive_core.usage import Usage
 
 if TYPE_CHECKING:
@@ -351,7 +351,7 @@
         ticket.stage = Stage.QUEUED
         self.queue.push(ticket, front=True)
 
-    def shifts(self, server_id: str, *, seconds_left: float) -> list[Shift]:
+    def shifts(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
         """Return how this node's streams leave a server under notice.
 
         The node stops each at the source, then calls :meth:`moved`.
--- a/packages/endive_core/src/endive_core/shifting.py
+++ b/packages/endive_core/src/endive_core/shifting.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shift:
+class StreamMove:
     """One stream's way off a server under notice.
 
     Attributes
@@ -48,7 +48,7 @@
     decode_tokens_per_s: float,
     export_tokens_per_s: float,
     margin_s: float,
-) -> list[Shift]:
+) -> list[StreamMove]:
     """Return how each stream of one server leaves it, in the order to act.
 
     A stream that ends within the time left finishes in place. The others are exported
@@ -58,12 +58,12 @@
     source stopped; else it stays and finishes if it can.
     """
     budget = max(0.0, seconds_left - margin_s)
-    finishing: list[Shift] = []
+    finishing: list[StreamMove] = []
     moving: list[Ticket] = []
     for ticket in tickets:
         left = ticket.call.max_tokens - ticket.tokens
         if left / decode_tokens_per_s <= budget:
-            finishing.append(Shift(ticket, ShiftMethod.FINISH))
+            finishing.append(StreamMove(ticket, ShiftMethod.FINISH))
         else:
             moving.append(ticket)
     moving.sort(key=recompute_tokens, reverse=True)
@@ -72,10 +72,10 @@
     for ticket in moving:
         takes = recompute_tokens(ticket) / export_tokens_per_s
         if used + takes <= budget:
-            shifts.append(Shift(ticket, ShiftMethod.EXPORT, used))
+            shifts.append(StreamMove(ticket, ShiftMethod.EXPORT, used))
             used += takes
         elif ticket.call.non_idempotent:
-            finishing.append(Shift(ticket, ShiftMethod.FINISH))
+            finishing.append(StreamMove(ticket, ShiftMethod.FINISH))
         else:
-            shifts.append(Shift(ticket, ShiftMethod.RESUME))
+            shifts.append(StreamMove(ticket, ShiftMethod.RESUME))
     return shifts + finishing
--- a/packages/endive_node/src/endive_node/dispatching.py
+++ b/packages/endive_node/src/endive_node/dispatching.py
@@ -22,7 +22,7 @@
     ServiceType,
 )
 from endive_core.scheduler import Scheduler
-from endive_core.shifting import Shift
+from endive_core.shifting import StreamMove
 from gevent.event import AsyncResult
 
 from endive_node.interfaces import BackendError, Clock
@@ -196,7 +196,7 @@
         self.metrics.retried(error.reason)
         self.queue_again(ticket, verdict.delay_s)
 
-    def shifts(self, server: ServerView, *, seconds_left: float) -> list[Shift]:
+    def shifts(self, server: ServerView, *, seconds_left: float) -> list[StreamMove]:
         """Return how the streams at `server` leave it, in the order to act."""
         scheduler = self.schedulers[server.service]
         return scheduler.shifts(server.id, seconds_left=seconds_left)
