--- a/packages/endive_core/src/endive_core/shifting.py
+++ b/packages/endive_core/src/endive_core/shifting.py
@@ -13,7 +13,7 @@
 from endive_core.calls import Ticket
 
 
-class ShiftMethod(StrEnum):
+class MoveMethod(StrEnum):
     """How a stream leaves its server."""
 
     EXPORT = "export"
@@ -32,7 +32,7 @@
     """
 
     ticket: Ticket
-    method: ShiftMethod
+    method: MoveMethod
     starts_at_s: float = 0.0
 
 
@@ -63,7 +63,7 @@
     for ticket in tickets:
         left = ticket.call.max_tokens - ticket.tokens
         if left / decode_tokens_per_s <= budget:
-            finishing.append(StreamMove(ticket, ShiftMethod.FINISH))
+            finishing.append(StreamMove(ticket, MoveMethod.FINISH))
         else:
             moving.append(ticket)
     moving.sort(key=recompute_tokens, reverse=True)
@@ -72,10 +72,10 @@
     for ticket in moving:
         takes = recompute_tokens(ticket) / export_tokens_per_s
         if used + takes <= budget:
-            shifts.append(StreamMove(ticket, ShiftMethod.EXPORT, used))
+            shifts.append(StreamMove(ticket, MoveMethod.EXPORT, used))
             used += takes
         elif ticket.call.non_idempotent:
-            finishing.append(StreamMove(ticket, ShiftMethod.FINISH))
+            finishing.append(StreamMove(ticket, MoveMethod.FINISH))
         else:
-            shifts.append(StreamMove(ticket, ShiftMethod.RESUME))
+            shifts.append(StreamMove(ticket, MoveMethod.RESUME))
     return shifts + finishing
