--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -24,7 +24,7 @@
 from endive_core.queueing import FairQueue
 from endive_core.servers import Random, ServerLoad, ServerSet
 from endive_core.service_types import ServiceType
-from endive_core.shifting import StreamMove, plan_shifts
+from endive_core.shifting import StreamMove, plan_moves
 from endive_core.usage import Usage
 
 if TYPE_CHECKING:
@@ -357,7 +357,7 @@
         The node stops each at the source, then calls :meth:`moved`.
         """
         server = self.servers.servers[server_id]
-        return plan_shifts(
+        return plan_moves(
             self.running.get(server_id, ()),
             seconds_left=seconds_left,
             decode_tokens_per_s=server.view.decode_tokens_per_s,
--- a/packages/endive_core/src/endive_core/shifting.py
+++ b/packages/endive_core/src/endive_core/shifting.py
@@ -41,7 +41,7 @@
     return ticket.call.prompt_tokens + ticket.tokens
 
 
-def plan_shifts(
+def plan_moves(
     tickets: Iterable[Ticket],
     *,
     seconds_left: float,
--- a/packages/endive_core/tests/test_shifting.py
+++ b/packages/endive_core/tests/test_shifting.py
@@ -1,6 +1,6 @@
 from core_builders import call
 from endive_core.calls import Ticket
-from endive_core.shifting import MoveMethod, plan_shifts
+from endive_core.shifting import MoveMethod, plan_moves
 
 
 def stream(number, *, prompt_tokens, tokens=10, left=1000, **more):
@@ -14,7 +14,7 @@
 
 
 def plan(tickets, seconds_left=3.0):
-    shifts = plan_shifts(
+    shifts = plan_moves(
         tickets,
         seconds_left=seconds_left,
         decode_tokens_per_s=50.0,
