--- a/benchmarks/load_model.py
+++ b/benchmarks/load_model.py
@@ -325,7 +325,7 @@
             if shift.method is MoveMethod.FINISH:
                 continue
             job = self.jobs[shift.ticket]
-            at = self.model.now + shift.starts_at_s
+            at = self.model.now + shift.start_delay_s
             self.model.at(at, self._shift, job, job.attempt, shift.method)
 
     def _shift(self, job: Job, attempt: int, method: MoveMethod) -> None:
--- a/packages/endive_core/src/endive_core/shifting.py
+++ b/packages/endive_core/src/endive_core/shifting.py
@@ -33,7 +33,7 @@
 
     ticket: Ticket
     method: MoveMethod
-    starts_at_s: float = 0.0
+    start_delay_s: float = 0.0
 
 
 def recompute_tokens(ticket: Ticket) -> int:
--- a/packages/endive_core/tests/test_shifting.py
+++ b/packages/endive_core/tests/test_shifting.py
@@ -32,8 +32,8 @@
     middle = stream(2, prompt_tokens=400)
     planned, shifts = plan([cheap, dear, middle])
     assert [shift.ticket for shift in shifts] == [dear, middle, cheap]
-    assert planned[dear].starts_at_s == 0
-    assert planned[middle].starts_at_s > 1
+    assert planned[dear].start_delay_s == 0
+    assert planned[middle].start_delay_s > 1
     assert planned[cheap].method is MoveMethod.RESUME
 
 
