--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -87,7 +87,7 @@
         if server_id in self.usable:
             self.usable.remove(server_id)
 
-    def shifts(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
+    def plan_moves(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
         """Move nothing: streams break when the server goes."""
         return []
 
--- a/benchmarks/deciders.py
+++ b/benchmarks/deciders.py
@@ -46,5 +46,5 @@
     def leaving(self, server_id: str) -> None:
         """Give a server no new work."""
 
-    def shifts(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
+    def plan_moves(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
         """Plan how streams leave a server."""
--- a/benchmarks/load_model.py
+++ b/benchmarks/load_model.py
@@ -321,7 +321,7 @@
     def notice(self, server_id: str, seconds: float) -> None:
         """Learn that a server will be reclaimed; move its streams."""
         self.decider.leaving(server_id)
-        for shift in self.decider.shifts(server_id, seconds_left=seconds):
+        for shift in self.decider.plan_moves(server_id, seconds_left=seconds):
             if shift.method is MoveMethod.FINISH:
                 continue
             job = self.jobs[shift.ticket]
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -351,7 +351,7 @@
         ticket.stage = Stage.QUEUED
         self.queue.push(ticket, front=True)
 
-    def shifts(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
+    def plan_moves(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
         """Return how this node's streams leave a server under notice.
 
         The node stops each at the source, then calls :meth:`moved`.
--- a/packages/endive_core/src/endive_core/shifting.py
+++ b/packages/endive_core/src/endive_core/shifting.py
@@ -67,15 +67,15 @@
         else:
             moving.append(ticket)
     moving.sort(key=recompute_tokens, reverse=True)
-    shifts = []
+    moves = []
     used = 0.0
     for ticket in moving:
         takes = recompute_tokens(ticket) / export_tokens_per_s
         if used + takes <= budget:
-            shifts.append(StreamMove(ticket, MoveMethod.EXPORT, used))
+            moves.append(StreamMove(ticket, MoveMethod.EXPORT, used))
             used += takes
         elif ticket.call.non_idempotent:
             finishing.append(StreamMove(ticket, MoveMethod.FINISH))
         else:
-            shifts.append(StreamMove(ticket, MoveMethod.RESUME))
-    return shifts + finishing
+            moves.append(StreamMove(ticket, MoveMethod.RESUME))
+    return moves + finishing
--- a/packages/endive_core/tests/test_shifting.py
+++ b/packages/endive_core/tests/test_shifting.py
@@ -14,14 +14,14 @@
 
 
 def plan(tickets, seconds_left=3.0):
-    shifts = plan_moves(
+    moves = plan_moves(
         tickets,
         seconds_left=seconds_left,
         decode_tokens_per_s=50.0,
         export_tokens_per_s=1000.0,
         margin_s=1.0,
     )
-    return {shift.ticket: shift for shift in shifts}, shifts
+    return {shift.ticket: shift for shift in moves}, moves
 
 
 def test_dearest_streams_are_exported_first_and_the_rest_resume():
@@ -30,8 +30,8 @@
     cheap = stream(0, prompt_tokens=300)
     dear = stream(1, prompt_tokens=1500)
     middle = stream(2, prompt_tokens=400)
-    planned, shifts = plan([cheap, dear, middle])
-    assert [shift.ticket for shift in shifts] == [dear, middle, cheap]
+    planned, moves = plan([cheap, dear, middle])
+    assert [shift.ticket for shift in moves] == [dear, middle, cheap]
     assert planned[dear].start_delay_s == 0
     assert planned[middle].start_delay_s > 1
     assert planned[cheap].method is MoveMethod.RESUME
--- a/packages/endive_node/src/endive_node/dispatching.py
+++ b/packages/endive_node/src/endive_node/dispatching.py
@@ -196,10 +196,12 @@
         self.metrics.retried(error.reason)
         self.queue_again(ticket, verdict.delay_s)
 
-    def shifts(self, server: ServerView, *, seconds_left: float) -> list[StreamMove]:
+    def plan_moves(
+        self, server: ServerView, *, seconds_left: float
+    ) -> list[StreamMove]:
         """Return how the streams at `server` leave it, in the order to act."""
         scheduler = self.schedulers[server.service]
-        return scheduler.shifts(server.id, seconds_left=seconds_left)
+        return scheduler.plan_moves(server.id, seconds_left=seconds_left)
 
     def moved(self, ticket: Ticket, tokens: int) -> None:
         """Queue a stream again that its server has stopped for a move."""
--- a/packages/endive_node/src/endive_node/moving.py
+++ b/packages/endive_node/src/endive_node/moving.py
@@ -72,8 +72,8 @@
         }
         for ticket, run in runs.items():
             ticket.tokens = len(run.record.tokens)
-        shifts = self.dispatcher.shifts(server, seconds_left=left_s)
-        moving = [s for s in shifts if s.method is not MoveMethod.FINISH]
+        moves = self.dispatcher.plan_moves(server, seconds_left=left_s)
+        moving = [s for s in moves if s.method is not MoveMethod.FINISH]
         log_event(
             "server_leaving", server=server.id, streams=len(runs), moving=len(moving)
         )
