--- a/packages/endive_gateway/src/endive_gateway/following.py
+++ b/packages/endive_gateway/src/endive_gateway/following.py
@@ -346,9 +346,9 @@
             gevent.spawn_later(RETURN_GRACE_S + TIMER_EARLY_S, self._sweep)
         if self.dirty:
             self.dirty = False
-            registry.changed()
+            registry.notify_listeners()
 
     def _sweep(self) -> None:
         """Give up the servers whose grace is over, without waiting for a read."""
         if self.context.registry.sweep(time.monotonic()):
-            self.context.registry.changed()
+            self.context.registry.notify_listeners()
--- a/packages/endive_gateway/src/endive_gateway/servers.py
+++ b/packages/endive_gateway/src/endive_gateway/servers.py
@@ -132,9 +132,9 @@
         if known is not None and not known.contradicted:
             known.contradicted = True
             log_event("server_contradicted", server=server_id)
-            self.changed()
+            self.notify_listeners()
 
-    def changed(self) -> None:
+    def notify_listeners(self) -> None:
         """Tell the listeners."""
         for listener in self.listeners:
             listener()
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -167,7 +167,7 @@
         for server in servers:
             self.context.registry.put(make_entry(server.id, address=server.address))
         self.context.registry.is_loaded = True
-        self.context.registry.changed()
+        self.context.registry.notify_listeners()
         self.listener = CallerListener(
             listen_tcp("127.0.0.1", 0),
             Forwarder(self.context),
--- a/packages/endive_gateway/tests/test_forwarding.py
+++ b/packages/endive_gateway/tests/test_forwarding.py
@@ -402,7 +402,7 @@
                 sequence=5,
             )
         )
-        running.context.registry.changed()
+        running.context.registry.notify_listeners()
         for _ in range(2):
             running.servers[1].script.clear()
             assert running.call().status == 200
