--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -102,7 +102,7 @@
                 counts=False,
             ) from None
         self.request.in_flight = True
-        self.request.sent_at = self.context.true_time.now()
+        self.request.sent_at = self.context.cluster_clock.now()
         try:
             self._send()
             message, metadata = self.connection.read_head(self.request.metadata.id)
--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -66,7 +66,7 @@
         self.pool = ConnectionPool(wire)
         self.limits = SharedLimits(time.monotonic(), slack=settings.bounds.quota_slack)
         self.meter = UsageMeter(settings.bounds.usage_window_s)
-        self.true_time = ClusterClock(time.monotonic, time.time)
+        self.cluster_clock = ClusterClock(time.monotonic, time.time)
         self.budgets: dict[str, FleetRetryBudget] = {}
         self.metrics = GatewayMetrics()
         self.work = WorkloadMeter()
--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -247,7 +247,7 @@
         """Report each window once it is over and counted."""
         if time.monotonic() < self.next_try_at:
             return
-        settled = self.context.true_time.now() - SETTLE_S
+        settled = self.context.cluster_clock.now() - SETTLE_S
         newest = self.context.meter.window_of(settled) - 1
         known = max(self.context.reported, self.log.reported)
         for window in range(max(known + 1, self._oldest(newest)), newest + 1):
@@ -261,7 +261,7 @@
         bounds = self.context.settings.bounds
         late = int(bounds.usage_late_s // bounds.usage_window_s)
         ran_for = time.monotonic() - self.context.started_at
-        start = self.context.true_time.now() - ran_for
+        start = self.context.cluster_clock.now() - ran_for
         return max(newest - late, self.context.meter.window_of(start))
 
     def _decide_window(self, window: int) -> None:
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -260,7 +260,7 @@
             since = self.exchange.received_at
             self.context.metrics.first_bytes.add(self.now - since)
             stream = self.route.kind is RouteKind.STREAM
-            at = self.context.true_time.now() if stream else self.sent_at
+            at = self.context.cluster_clock.now() if stream else self.sent_at
             self.context.meter.begin(self.organisation, at)
 
     # After a failed attempt
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -313,7 +313,7 @@
         context = self.context
         context.reported = max(context.reported, telling.reported)
         self.see_duty_end(telling.duty_end)
-        context.true_time.receive(address, telling.wall_ms / 1000)
+        context.cluster_clock.receive(address, telling.wall_ms / 1000)
         spender = SpendingOrigin(address, *age, telling.age_s)
         context.limits.receive(spender, telling.spent, now)
         context.meter.receive(address, telling.incarnation, telling.windows)
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -314,4 +314,4 @@
 
 def freeze_time(context, wall):
     """Let the context's true time stand at `wall`."""
-    context.true_time = ClusterClock(lambda: 0.0, lambda: wall)
+    context.cluster_clock = ClusterClock(lambda: 0.0, lambda: wall)
