--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -16,7 +16,7 @@
 from endive_core.queueing import FairQueue
 from endive_core.quotas import Quota
 from endive_core.rates import ServiceRate, WaitError
-from endive_core.returning import ReturnTimes
+from endive_core.retry_after import ReturnTimes
 from endive_core.servers import ServerSet
 from endive_core.service_types import ServiceType
 from endive_core.usage import Usage
--- a/packages/endive_core/tests/test_scheduler.py
+++ b/packages/endive_core/tests/test_scheduler.py
@@ -3,7 +3,7 @@
 from core_builders import call, dispatch_all, scheduler
 from endive_core.calls import Refusal, Retry, Stage
 from endive_core.exceptions import ErrorKind, RetryReason
-from endive_core.returning import TURN_PERIOD, TURN_S, is_turn
+from endive_core.retry_after import TURN_PERIOD, TURN_S, is_turn
 
 
 def test_call_is_sent_to_a_server_with_room():
