--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -8,7 +8,7 @@
     coordinator_for,
     may_spend_without_grant,
 )
-from endive_core.sharing import HEAD_START_S, SharedLimits, SpendingOrigin
+from endive_core.shared_limits import HEAD_START_S, SharedLimits, SpendingOrigin
 
 RATE, BURST, SLACK = 400.0, 400.0, 800.0
 WINDOW_S = 4.0
--- a/packages/endive_core/tests/test_sharing.py
+++ b/packages/endive_core/tests/test_sharing.py
@@ -1,4 +1,4 @@
-from endive_core.sharing import (
+from endive_core.shared_limits import (
     FORGOTTEN_S,
     HEAD_START_S,
     SILENCE_TIMEOUT_S,
--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -8,7 +8,7 @@
 from endive_core.metering import UsageMeter
 from endive_core.retrying import FleetRetryBudget
 from endive_core.routing import CallerLimits, OrganisationLimits, RoutingTable
-from endive_core.sharing import SharedLimits
+from endive_core.shared_limits import SharedLimits
 from endive_node.logs import log_event
 from gevent.event import Event
 
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -12,7 +12,7 @@
 
 import gevent
 from endive_core.crashes import Crash
-from endive_core.sharing import SILENCE_TIMEOUT_S, SpendingOrigin
+from endive_core.shared_limits import SILENCE_TIMEOUT_S, SpendingOrigin
 from endive_node.logs import log_event
 from gevent.event import Event
 
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -22,7 +22,7 @@
     may_spend_without_grant,
 )
 from endive_core.routing import OrganisationLimits
-from endive_core.sharing import SpendingOrigin
+from endive_core.shared_limits import SpendingOrigin
 from endive_node.logs import log_event
 from gevent.event import AsyncResult
 
@@ -129,8 +129,8 @@
     def take(self, terms: OrganisationLimits, units: float) -> float:
         """Return 0 and spend `units` if a request may come, else the seconds to wait.
 
-        See :meth:`endive_core.sharing.SharedLimits.wait_s`. Among many nodes, what is
-        more than this node's part of the rest is asked for.
+        See :meth:`endive_core.shared_limits.SharedLimits.wait_s`. Among many nodes,
+        what is more than this node's part of the rest is asked for.
         """
         limits = self.context.limits
         for _ in range(MAX_GRANT_ATTEMPTS):
--- a/tests/soak/launch.py
+++ b/tests/soak/launch.py
@@ -26,7 +26,7 @@
 
 def share_no_limit():
     """Let each node spend the whole of every limit."""
-    from endive_core.sharing import SharedLimits
+    from endive_core.shared_limits import SharedLimits
 
     SharedLimits.receive = lambda self, *args, **options: None
     SharedLimits.apply_update = lambda self, *args, **options: 0.0
