--- a/packages/endive_core/src/endive_core/__init__.py
+++ b/packages/endive_core/src/endive_core/__init__.py
@@ -9,7 +9,7 @@
 - placing: ``placement``, ``prefixes``, ``ring``, ``hashing``, ``servers``,
   ``backlogs``, ``prefilling``, ``first_tokens``
 - failures: ``failures``, ``retrying``, ``crashes``, ``outliers``, ``suspicions``
-- limits: ``quotas``, ``shared_limits``, ``counting``, ``metering``
+- limits: ``quotas``, ``shared_limits``, ``limit_coordination``, ``metering``
 - capacity: ``capacity``, ``load_sizing``
 - streams and requests that move: ``shifting``, ``handover``, ``claims``
 - membership: ``membership``, ``members``, ``digests``, ``facts``, ``leases``,
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -2,7 +2,7 @@
 import itertools
 
 import pytest
-from endive_core.counting import (
+from endive_core.limit_coordination import (
     GRANT_TIMEOUT_S,
     UnsentSpending,
     coordinator_for,
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -1,8 +1,8 @@
 """What an organisation spends, told at once to the node that adds it up.
 
 It goes by UDP at a port of its own, beside the tellings: a request must not wait for
-them, nor they for it. :mod:`endive_core.counting` decides who adds up and when the
-others are told; what is lost here, the tellings make good for.
+them, nor they for it. :mod:`endive_core.limit_coordination` decides who adds up and
+when the others are told; what is lost here, the tellings make good for.
 """
 
 import time
@@ -11,7 +11,7 @@
 
 import gevent
 import msgspec
-from endive_core.counting import (
+from endive_core.limit_coordination import (
     COORDINATOR_BACKOFF_S,
     GRANT_RETRY_AFTER_S,
     GRANT_TIMEOUT_S,
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -4,7 +4,7 @@
 import gevent
 import msgspec
 import pytest
-from endive_core.counting import GRANT_TIMEOUT_S, coordinator_for
+from endive_core.limit_coordination import GRANT_TIMEOUT_S, coordinator_for
 from endive_core.routing import OrganisationLimits
 from endive_gateway import spending
 from endive_gateway.spending import (
