--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -19,7 +19,7 @@
 from endive_core.retry_after import ReturnTimes
 from endive_core.servers import ServerSet
 from endive_core.service_types import ServiceType
-from endive_core.usage import Usage
+from endive_core.slot_usage import Usage
 
 if TYPE_CHECKING:
     from endive_core.resources import Organisation
