--- a/packages/endive_core/src/endive_core/__init__.py
+++ b/packages/endive_core/src/endive_core/__init__.py
@@ -5,7 +5,7 @@
 - one request: ``calls``, ``lifecycle``, ``bodies``, ``messages``, ``exceptions``,
   ``service_types``
 - decisions under load, behind one facade: ``scheduler``, ``policy``, ``admission``,
-  ``queueing``, ``slot_usage``, ``expiry``, ``retry_after``, ``rates``
+  ``queueing``, ``slot_usage``, ``expiry``, ``retry_after``, ``estimators``
 - placing: ``placement``, ``prefixes``, ``ring``, ``hashing``, ``servers``,
   ``backlogs``, ``prefilling``, ``first_tokens``
 - failures: ``failures``, ``retrying``, ``crashes``, ``outliers``, ``suspicions``
--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -11,11 +11,11 @@
 
 from endive_core.calls import Call, Refusal, Stage, Ticket, Tier
 from endive_core.crashes import CrashTable
+from endive_core.estimators import ServiceRate, WaitError
 from endive_core.exceptions import ErrorKind
 from endive_core.policy import Policy
 from endive_core.queueing import FairQueue
 from endive_core.quotas import Quota
-from endive_core.rates import ServiceRate, WaitError
 from endive_core.retry_after import ReturnTimes
 from endive_core.servers import ServerSet
 from endive_core.service_types import ServiceType
--- a/packages/endive_core/src/endive_core/first_tokens.py
+++ b/packages/endive_core/src/endive_core/first_tokens.py
@@ -6,9 +6,9 @@
 """
 
 from endive_core.calls import Ticket
+from endive_core.estimators import ServiceRate
 from endive_core.outliers import OutlierDetector
 from endive_core.prefilling import PrefillRate
-from endive_core.rates import ServiceRate
 from endive_core.servers import ServerLoad, ServerSet
 
 RATES_EVERY_S = 1.0
