--- a/packages/endive_core/src/endive_core/__init__.py
+++ b/packages/endive_core/src/endive_core/__init__.py
@@ -8,7 +8,7 @@
   ``queueing``, ``slot_usage``, ``expiry``, ``retry_after``, ``estimators``
 - placing: ``placement``, ``prefixes``, ``ring``, ``hashing``, ``servers``,
   ``backlogs``, ``prefilling``, ``first_tokens``
-- failures: ``failures``, ``retrying``, ``crashes``, ``outliers``, ``suspicions``
+- failures: ``failures``, ``retrying``, ``crashes``, ``outliers``, ``ejection``
 - limits: ``quotas``, ``shared_limits``, ``limit_coordination``, ``metering``
 - capacity: ``capacity``, ``load_sizing``
 - streams and requests that move: ``shifting``, ``handover``, ``claims``
--- a/packages/endive_core/tests/test_suspicions.py
+++ b/packages/endive_core/tests/test_ejection.py
@@ -1,7 +1,7 @@
 from random import Random
 
 import pytest
-from endive_core.suspicions import (
+from endive_core.ejection import (
     HOLD_S,
     LEAST_FAILURES,
     LEAST_SERVERS,
