--- a/packages/endive_gateway/src/endive_gateway/__init__.py
+++ b/packages/endive_gateway/src/endive_gateway/__init__.py
@@ -10,7 +10,7 @@
   ``loops``
 - callers' side: ``callers``, ``http``, ``statuses``, ``progress``
 - servers' side: ``forwarding``, ``attempts``, ``connections``, ``events``, ``placing``,
-  ``working``
+  ``workload``
 - what the platform says: ``following``, ``configuration``, ``servers``, ``documents``,
   ``listing``
 - between nodes: ``peers``, ``nodes``, ``tellings``, ``datagrams``, ``spending``,
--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -17,7 +17,7 @@
 from endive_gateway.metrics import GatewayMetrics
 from endive_gateway.placing import Placer
 from endive_gateway.servers import ServerRegistry
-from endive_gateway.working import WorkloadMeter
+from endive_gateway.workload import WorkloadMeter
 
 START_WAIT_S = 0.5
 """Time after the start for which a request may wait until the configuration and the
