--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -15,8 +15,8 @@
 from endive_core.prefilling import PrefillRate
 from endive_core.routing import Scaling
 from endive_core.scheduler import Scheduler
+from endive_gateway.autoscaling import LOAD_WARM_UP_S, MIN_NEEDED_SERVERS
 from endive_gateway.duties import DUTY_INTERVAL_S as ORDER_S
-from endive_gateway.ordering import LOAD_WARM_UP_S, MIN_NEEDED_SERVERS
 from endive_gateway.peers import BROADCAST_INTERVAL_PER_NODE_S, BROADCAST_INTERVAL_S
 from endive_gateway.placing import GATEWAY_POLICY, INTERLEAVING_FACTOR
 
--- a/packages/endive_gateway/src/endive_gateway/__init__.py
+++ b/packages/endive_gateway/src/endive_gateway/__init__.py
@@ -15,6 +15,6 @@
   ``listing``
 - between nodes: ``peers``, ``nodes``, ``tellings``, ``datagrams``, ``spending``,
   ``prompts``
-- what one node does for all: ``duties``, ``ordering``
+- what one node does for all: ``duties``, ``autoscaling``
 - watching it: ``logstream``, ``metrics``
 """
--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -7,6 +7,7 @@
 from endive_core.leases import DutyKind, DutyLog, DutyRecord, Lease
 from endive_node.logs import log_event
 
+from endive_gateway.autoscaling import Ordering
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
 from endive_gateway.exceptions import (
@@ -17,7 +18,6 @@
     StoreOutcomeUnknownError,
 )
 from endive_gateway.interfaces import Topic
-from endive_gateway.ordering import Ordering
 from endive_gateway.peers import Peers
 
 LEASE_S = 2.4
--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -10,6 +10,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
+from endive_gateway.autoscaling import Ordering
 from endive_gateway.callers import CallerListener
 from endive_gateway.configuration import ConfigurationFollower
 from endive_gateway.context import Context
@@ -19,7 +20,6 @@
 from endive_gateway.interfaces import Cloud, GatewaySettings, Store, Wire
 from endive_gateway.loops import keep_running
 from endive_gateway.metrics import MetricsServer
-from endive_gateway.ordering import Ordering
 from endive_gateway.peers import Peers
 from endive_gateway.prompts import PromptAnnouncer
 from endive_gateway.spending import SpendingNotes
--- a/packages/endive_gateway/tests/test_duties.py
+++ b/packages/endive_gateway/tests/test_duties.py
@@ -3,10 +3,10 @@
 import pytest
 from endive_gateway import duties as duties_module
 from endive_gateway import peers as peers_module
+from endive_gateway.autoscaling import Ordering
 from endive_gateway.duties import LEASE_S, MARGIN_S, RANK_S, Duties
 from endive_gateway.exceptions import StoreError, StoreOutcomeUnknownError
 from endive_gateway.interfaces import Topic
-from endive_gateway.ordering import Ordering
 from endive_gateway.peers import Peers
 from gateway_builders import freeze_time, make_context, make_table
 from store_builders import MemoryStore, RecordingCloud, store_down
--- a/packages/endive_gateway/tests/test_ordering.py
+++ b/packages/endive_gateway/tests/test_ordering.py
@@ -1,8 +1,8 @@
 import pytest
 from endive_core.leases import Lease
 from endive_core.routing import Scaling, Service
+from endive_gateway.autoscaling import LOWER_AFTER_S, SETTLED_S, STARTED_S, Ordering
 from endive_gateway.interfaces import ServerState
-from endive_gateway.ordering import LOWER_AFTER_S, SETTLED_S, STARTED_S, Ordering
 from endive_gateway.peers import Peers
 from gateway_builders import make_context, make_entry, make_table
 from store_builders import RecordingCloud
