--- a/packages/endive_gateway/src/endive_gateway/__init__.py
+++ b/packages/endive_gateway/src/endive_gateway/__init__.py
@@ -13,7 +13,7 @@
   ``workload``
 - what the platform says: ``following``, ``configuration``, ``servers``, ``documents``,
   ``listing``
-- between nodes: ``peers``, ``nodes``, ``tellings``, ``datagrams``, ``spending``,
+- between nodes: ``peers``, ``nodes``, ``state_messages``, ``datagrams``, ``spending``,
   ``prompts``
 - what one node does for all: ``duties``, ``autoscaling``
 - watching it: ``logstream``, ``metrics``
--- a/packages/endive_gateway/src/endive_gateway/following.py
+++ b/packages/endive_gateway/src/endive_gateway/following.py
@@ -16,7 +16,7 @@
 )
 from endive_gateway.interfaces import Page, Record, ServerNews, ServerState, Topic
 from endive_gateway.servers import RETURN_GRACE_S
-from endive_gateway.tellings import pack_changes, unpack_changes
+from endive_gateway.state_messages import pack_changes, unpack_changes
 
 SERVERS_GAP_S = 0.7
 """Time between two reads of the servers, seconds. A leaving server may get requests
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -24,7 +24,7 @@
 from endive_gateway.following import ServerFollower
 from endive_gateway.listing import NodeList
 from endive_gateway.nodes import Peer
-from endive_gateway.tellings import DECODER, StateMessage
+from endive_gateway.state_messages import DECODER, StateMessage
 
 BROADCAST_INTERVAL_S = 0.2
 BROADCAST_INTERVAL_PER_NODE_S = 0.01
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -10,7 +10,7 @@
 from endive_gateway.exceptions import StoreOutcomeUnknownError
 from endive_gateway.interfaces import Topic
 from endive_gateway.peers import Peers
-from endive_gateway.tellings import DECODER, StateMessage
+from endive_gateway.state_messages import DECODER, StateMessage
 from gateway_builders import make_context, make_table
 from store_builders import MemoryStore, store_down
 
