--- a/packages/endive_gateway/src/endive_gateway/__init__.py
+++ b/packages/endive_gateway/src/endive_gateway/__init__.py
@@ -11,8 +11,8 @@
 - callers' side: ``callers``, ``http``, ``statuses``, ``progress``
 - servers' side: ``forwarding``, ``attempts``, ``connections``, ``events``, ``placing``,
   ``workload``
-- what the platform says: ``following``, ``configuration``, ``servers``, ``documents``,
-  ``listing``
+- what the platform says: ``following``, ``configuration``, ``servers``,
+  ``configuration_exchange``, ``listing``
 - between nodes: ``peers``, ``nodes``, ``state_messages``, ``datagrams``, ``spending``,
   ``prompts``
 - what one node does for all: ``duties``, ``autoscaling``
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -18,9 +18,9 @@
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.configuration import ConfigurationFollower
+from endive_gateway.configuration_exchange import DocumentExchange
 from endive_gateway.context import Context
 from endive_gateway.datagrams import DatagramPort
-from endive_gateway.documents import DocumentExchange
 from endive_gateway.following import ServerFollower
 from endive_gateway.listing import NodeList
 from endive_gateway.nodes import Peer
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -6,7 +6,7 @@
 import pytest
 from endive_core.crashes import Crash
 from endive_gateway import peers as peers_module
-from endive_gateway.documents import unpacked
+from endive_gateway.configuration_exchange import unpacked
 from endive_gateway.exceptions import StoreOutcomeUnknownError
 from endive_gateway.interfaces import Topic
 from endive_gateway.peers import Peers
