--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -7,7 +7,7 @@
 from endive_core.exceptions import RetryReason
 from endive_core.hashing import rendezvous_choice
 from endive_core.messages import ServerView
-from endive_core.shifting import StreamMove
+from endive_core.stream_moves import StreamMove
 
 RETRY_S = 0.05
 
--- a/benchmarks/deciders.py
+++ b/benchmarks/deciders.py
@@ -4,7 +4,7 @@
 
 from endive_core.calls import Call, Dispatch, Refusal, Retry, Ticket
 from endive_core.exceptions import RetryReason
-from endive_core.shifting import StreamMove
+from endive_core.stream_moves import StreamMove
 
 
 class Decider(Protocol):
--- a/benchmarks/load_model.py
+++ b/benchmarks/load_model.py
@@ -15,7 +15,7 @@
 from endive_core.exceptions import RetryReason
 from endive_core.messages import ServerView
 from endive_core.prefixes import BLOCK_TOKENS
-from endive_core.shifting import MoveMethod
+from endive_core.stream_moves import MoveMethod
 from load_jobs import Cluster, Job
 
 PUMP_S = 0.01
--- a/packages/endive_core/src/endive_core/__init__.py
+++ b/packages/endive_core/src/endive_core/__init__.py
@@ -11,7 +11,7 @@
 - failures: ``failures``, ``retrying``, ``crashes``, ``outliers``, ``ejection``
 - limits: ``quotas``, ``shared_limits``, ``limit_coordination``, ``metering``
 - capacity: ``capacity``, ``load_sizing``
-- streams and requests that move: ``shifting``, ``handover``, ``claims``
+- streams and requests that move: ``stream_moves``, ``handover``, ``claims``
 - membership: ``membership``, ``members``, ``digests``, ``facts``, ``leases``,
   ``clocks``
 - configuration: ``resources``, ``catalogue``, ``routing``, ``records``, ``fold``,
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -24,8 +24,8 @@
 from endive_core.queueing import FairQueue
 from endive_core.servers import Random, ServerLoad, ServerSet
 from endive_core.service_types import ServiceType
-from endive_core.shifting import StreamMove, plan_moves
 from endive_core.slot_usage import Usage
+from endive_core.stream_moves import StreamMove, plan_moves
 
 if TYPE_CHECKING:
     from endive_core.resources import Deployment, Organisation
--- a/packages/endive_core/tests/test_shifting.py
+++ b/packages/endive_core/tests/test_stream_moves.py
@@ -1,6 +1,6 @@
 from core_builders import call
 from endive_core.calls import Ticket
-from endive_core.shifting import MoveMethod, plan_moves
+from endive_core.stream_moves import MoveMethod, plan_moves
 
 
 def stream(number, *, prompt_tokens, tokens=10, left=1000, **more):
--- a/packages/endive_node/src/endive_node/dispatching.py
+++ b/packages/endive_node/src/endive_node/dispatching.py
@@ -22,7 +22,7 @@
     ServiceType,
 )
 from endive_core.scheduler import Scheduler
-from endive_core.shifting import StreamMove
+from endive_core.stream_moves import StreamMove
 from gevent.event import AsyncResult
 
 from endive_node.interfaces import BackendError, Clock
--- a/packages/endive_node/src/endive_node/moving.py
+++ b/packages/endive_node/src/endive_node/moving.py
@@ -4,7 +4,7 @@
 
 import gevent
 from endive_core.messages import Endpoint, ServerView
-from endive_core.shifting import MoveMethod
+from endive_core.stream_moves import MoveMethod
 from gevent.pool import Pool
 
 from endive_node.dispatching import Dispatcher
