--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -33,7 +33,7 @@
     servers : list of str
         Ids of the servers tried, in order.
     sent_at : float
-        Estimated true time at which the latest attempt was sent, seconds.
+        When the latest attempt was sent, seconds on the cluster clock.
     """
 
     context: Context
@@ -188,7 +188,7 @@
 
         Raises
         ------
-        BrokenError
+        ConnectionBrokenError
             If the response can't be the server's own, unchanged.
         """
         encoding = header_value(message.headers, b"content-encoding").lower()
--- a/packages/endive_gateway/src/endive_gateway/connections.py
+++ b/packages/endive_gateway/src/endive_gateway/connections.py
@@ -118,7 +118,7 @@
 
         Raises
         ------
-        BrokenError
+        ConnectionBrokenError
             If the connection ends first.
         """
         while not (self.parser.messages and self.parser.messages[0].head_done):
@@ -130,7 +130,7 @@
 
         Raises
         ------
-        BrokenError
+        ConnectionBrokenError
             If the connection ends before the body does.
         """
         while True:
@@ -201,7 +201,7 @@
 
     @classmethod
     def open(cls, address: str, wire: Wire) -> "ServerConnection":
-        """Connect to ``IP:port``; raises :class:`BrokenError`."""
+        """Connect to ``IP:port``; raises :class:`ConnectionBrokenError`."""
         return cls(connect(address), wire)
 
     def read_head(self, request_id: str) -> tuple[ResponseMessage, ResponseMetadata]:
@@ -212,7 +212,7 @@
 
         Raises
         ------
-        BrokenError
+        ConnectionBrokenError
             If the connection ends first.
         """
         while True:
@@ -236,7 +236,13 @@
 
 
 def connect(address: str) -> socket.socket:
-    """Return a socket connected to ``IP:port``; raises :class:`BrokenError`."""
+    """Return a socket connected to ``IP:port``.
+
+    Raises
+    ------
+    ConnectionBrokenError
+        If the connection can't be opened.
+    """
     host, _, port = address.rpartition(":")
     sock = gsocket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -318,7 +324,13 @@
         self.opened = 0
 
     def acquire(self, server_id: str, address: str) -> ServerConnection:
-        """Return an idle or new connection to a server; raises :class:`ConnectionBrokenError`."""
+        """Return an idle or new connection to a server.
+
+        Raises
+        ------
+        ConnectionBrokenError
+            If a new connection can't be opened.
+        """
         idle = self.idle[server_id]
         now = time.monotonic()
         while idle:
--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -40,8 +40,8 @@
     started_at : float
         When this node started, seconds on the monotonic clock.
     take_units : callable
-        Called with an organisation's terms and a request's units. Returns 0 and takes
-        the units if the quota allows, else the seconds to wait.
+        Called with an organisation's limits and a request's units. Returns 0 and takes
+        the units if the limits allow, else the seconds to wait.
     on_prompt : callable
         Called with a server's id, the prompt's uncached tokens and the server's prefill
         time in seconds when a prompt is sent to that server.
@@ -93,7 +93,7 @@
         return self.table.limits if self.table else CallerLimits()
 
     def terms(self, organisation: str) -> OrganisationLimits | None:
-        """Return an organisation's terms that are in force."""
+        """Return the limits in force of an organisation."""
         organisations = self.table.organisations if self.table else None
         return (organisations or {}).get(organisation)
 
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -40,8 +40,8 @@
 server can be expected to answer in less. Half of all first tokens come within a
 twentieth of their targets, but no complete response does."""
 
-LOWEST_URGENCY = 9
-"""The lowest urgency that servers accept; they process urgency 0 first."""
+LOWEST_SERVER_PRIORITY = 9
+"""Number of the lowest priority that servers accept; 0 is the highest."""
 
 
 class Forwarder:
@@ -68,7 +68,7 @@
         Attempts that don't count towards the route's maximum: they reached no server
         of the service.
     units : float
-        Quota units that the request has taken.
+        Units of the organisation's limit that the request has taken.
     """
 
     def __init__(self, context: Context, exchange: Exchange) -> None:
@@ -169,7 +169,7 @@
             raise EndiveError(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
             )
-        self._spend_quota(call)
+        self._take_units(call)
         table = self.context.table
         service = self.route.choose(self.context.random.random())
         self.context.retry_budget(service).request(self.now)
@@ -184,7 +184,7 @@
         priority = route.priority
         if self.terms is not None and self.terms.priority is not None:
             priority = self.terms.priority
-        self.base_urgency = min(LOWEST_URGENCY, priority)
+        self.base_server_priority = min(LOWEST_SERVER_PRIORITY, priority)
         blocks, ends = part_blocks(
             metadata.model, [(part.id, part.tokens) for part in metadata.parts]
         )
@@ -209,7 +209,7 @@
             non_idempotent=not route.retryable,
         )
 
-    def _spend_quota(self, call: Call) -> None:
+    def _take_units(self, call: Call) -> None:
         terms = self.terms
         if terms is None or terms.rate <= 0:
             return
@@ -255,8 +255,10 @@
 
     @property
     def server_priority(self) -> int:
-        """The urgency at the server, from 0, the highest, to LOWEST_URGENCY."""
-        return LOWEST_URGENCY if self.ticket.yields else self.base_urgency
+        """Priority at the server, from 0, the highest, to LOWEST_SERVER_PRIORITY."""
+        return (
+            LOWEST_SERVER_PRIORITY if self.ticket.yields else self.base_server_priority
+        )
 
     def _count_prompt(self, server: str) -> None:
         """Count a prompt sent to a server; announce it to peers if it delays others.
--- a/packages/endive_gateway/src/endive_gateway/prompts.py
+++ b/packages/endive_gateway/src/endive_gateway/prompts.py
@@ -1,6 +1,6 @@
 """Announces long prompts to all other nodes immediately.
 
-With a hundred nodes, each receives another's gossip message once a second only. A
+With a hundred nodes, each receives another's state message only once a second. A
 prompt of 50,000 tokens occupies its server for as long. Without an announcement,
 fourteen other nodes sent a short prompt each to that server within that second, and
 each was two seconds late. One small datagram to each node prevents that.
--- a/packages/endive_gateway/src/endive_gateway/workload.py
+++ b/packages/endive_gateway/src/endive_gateway/workload.py
@@ -4,8 +4,8 @@
 import time
 
 SMOOTHING_S = 1.5
-"""Time constant of the smoothed workload, seconds: a burst must show within two gossip
-intervals, and single requests must not."""
+"""Time constant of the smoothed workload, seconds: a burst must show within two
+broadcasts of the state message, and single requests must not."""
 
 
 class WorkloadMeter:
@@ -21,9 +21,9 @@
     running : dict
         By service, the number of servers whose slots this node's requests fill.
     averages : dict
-        By service, the smoothed workload.
-    told : dict
-        The smoothed workload as of the last update.
+        By service, the moving average of the workload.
+    smoothed : dict
+        The averages as of the last update, as sent to the other nodes.
     updated_at : float
         Time of the last update, seconds on the monotonic clock.
     """
@@ -39,9 +39,9 @@
         """Add the prefill time of a prompt sent to a server, seconds."""
         self.prompts_s[service] = self.prompts_s.get(service, 0.0) + prefill_s
 
-    def set_running(self, service: str, slots: float) -> None:
+    def set_running(self, service: str, servers: float) -> None:
         """Set the number of servers whose slots this node's requests fill."""
-        self.running[service] = slots
+        self.running[service] = servers
 
     def update(self, now: float) -> dict[str, float]:
         """Update and return the smoothed workload by service."""
--- a/packages/endive_gateway/tests/test_streams.py
+++ b/packages/endive_gateway/tests/test_streams.py
@@ -104,7 +104,7 @@
         second.send(method="POST", body=b"b", tokens="500,5")
         assert second.receive().status == 200
         assert first.receive().status == 200
-        urgencies = [
-            received.headers["urgency"] for received in running.servers[0].received
+        priorities = [
+            received.headers["priority"] for received in running.servers[0].received
         ]
-    assert urgencies == ["2", "9"]
+    assert priorities == ["2", "9"]
