--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -65,7 +65,7 @@
         sent.append((b"Wait-Ms", b"%d" % (forwarding.left_s * 1000)))
         sent.append((b"Meant", forwarding.server_id.encode()))
         sent.append((b"Organisation", forwarding.organisation.encode()))
-        sent.append((b"Priority", b"%d" % forwarding.server_priority))
+        sent.append((b"Urgency", b"%d" % forwarding.server_priority))
         if forwarding.last_event_id:
             sent.append((b"After", forwarding.last_event_id.encode()))
         return sent
--- a/packages/endive_gateway/tests/test_streams.py
+++ b/packages/endive_gateway/tests/test_streams.py
@@ -105,6 +105,6 @@
         assert second.receive().status == 200
         assert first.receive().status == 200
         priorities = [
-            received.headers["priority"] for received in running.servers[0].received
+            received.headers["urgency"] for received in running.servers[0].received
         ]
     assert priorities == ["2", "9"]
