--- a/packages/endive_gateway/src/endive_gateway/connections.py
+++ b/packages/endive_gateway/src/endive_gateway/connections.py
@@ -181,9 +181,9 @@
         if timeout is not None:
             self.idle_timeout_s = timeout
         sending = self.sender is not None and not self.sender.ready()
-        alone = len(self.parser.messages) == 1
-        whole = message.complete and alone and not sending
-        return self.reusable and message.keep_alive and whole
+        is_only_message = len(self.parser.messages) == 1
+        is_complete = message.complete and is_only_message and not sending
+        return self.reusable and message.keep_alive and is_complete
 
     def close(self) -> None:
         """Close at once, which cancels a request in progress at the server."""
--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -104,7 +104,7 @@
         )
 
     def configure(self, table: RoutingTable, document: bytes, source: str) -> bool:
-        """Put a configuration in force unless it is outdated; return whether it was.
+        """Put a configuration in force if it is newer; return whether it was.
 
         An older version never replaces a newer one, whatever its source.
         """
--- a/packages/endive_gateway/src/endive_gateway/exceptions.py
+++ b/packages/endive_gateway/src/endive_gateway/exceptions.py
@@ -77,7 +77,7 @@
 
 
 class ConnectionEndedError(ConnectionBrokenError):
-    """The server closed the connection (FIN) before the response was complete."""
+    """The server closed the connection in an orderly way."""
 
 
 class CallerGoneError(Exception):
@@ -101,7 +101,7 @@
         Whether the server may have run the request.
     counts_as_attempt : bool
         Whether the attempt counts towards the route's maximum of attempts.
-    answer : ServerAnswer or None
+    response : ServerResponse or None
         The error response that the server itself gave.
     """
 
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -62,7 +62,7 @@
     Attributes
     ----------
     consecutive_failures : Counter
-        By server id, the failed attempts since its last success.
+        By server id, the responses lost since the last complete one.
     views : dict
         By id, the servers that may get requests, as the schedulers see them.
     """
--- a/packages/endive_gateway/src/endive_gateway/progress.py
+++ b/packages/endive_gateway/src/endive_gateway/progress.py
@@ -20,7 +20,7 @@
     prompt_tokens, uncached_tokens : float
         Tokens of the prompt, and those that placement expected the server to compute.
     yielded : bool
-        Whether it had the lowest priority at its server because it was already late.
+        Whether it had the lowest priority at its server, as it would be late anyway.
     first_byte_s : float or None
         Time from `received_at` to the first byte of the response.
     max_gap_s : float
