--- a/packages/endive_gateway/src/endive_gateway/configuration.py
+++ b/packages/endive_gateway/src/endive_gateway/configuration.py
@@ -11,15 +11,15 @@
 from endive_gateway.interfaces import Record, Topic
 from endive_gateway.loops import keep_running
 
-CONFIGURATION_WAIT_S = 20.0
+LONG_POLL_WAIT_S = 20.0
 """How long a read of the configuration waits for a change, seconds: under the store's
 longest. Whether one was missed meanwhile is found out by short reads."""
 
-CONFIGURATION_GAP_S = 0.15
+MIN_READ_INTERVAL_S = 0.15
 """Least time between two reads of the configuration, seconds: a storm of changes is
 read a few at a time, well within the two seconds allowed."""
 
-CHECK_LOOK_S = 0.05
+MIN_CHECK_INTERVAL_S = 0.05
 """Least time between two looks whether a newer configuration may be there, seconds."""
 
 CONFIGURATION_KEY = "config"
@@ -48,25 +48,25 @@
     def __init__(self, context: Context, readers: Readers | None = None) -> None:
         super().__init__(context, readers)
         self.freshness = Freshness(context.settings.bounds.config_s, boot_time())
-        self.known_version = -1
-        self.waiting: gevent.Greenlet | None = None
+        self.long_poll_version = -1
+        self.long_poll: gevent.Greenlet | None = None
 
     def run(self) -> None:
         """See :meth:`Follower.run`."""
         if self.readers is not None:
             self.readers.await_first_configuration()
-        self._wait_anew()
+        self._restart_long_poll()
         while True:
             gevent.sleep(self.check())
 
-    def _wait_anew(self) -> None:
-        if self.waiting is not None:
-            self.waiting.kill(block=False)
-        self.waiting = gevent.spawn(keep_running, super().run)
+    def _restart_long_poll(self) -> None:
+        if self.long_poll is not None:
+            self.long_poll.kill(block=False)
+        self.long_poll = gevent.spawn(keep_running, super().run)
 
     @property
-    def has_begun(self) -> bool:
-        """See :meth:`Follower.has_begun`.
+    def has_snapshot(self) -> bool:
+        """See :meth:`Follower.has_snapshot`.
 
         A configuration is whole, so one that another node gave will do.
         """
@@ -77,20 +77,20 @@
 
         Few nodes read it all the same: a change then needs no second step.
         """
-        if self.readers is None or self.readers.reads_alone():
+        if self.readers is None or self.readers.every_node_reads():
             return False
         return not self.readers.is_reader()
 
     def pause_s(self) -> float:
         """See :meth:`Follower.pause_s`."""
-        return CONFIGURATION_GAP_S
+        return MIN_READ_INTERVAL_S
 
     def wait_s(self) -> float:
         """See :meth:`Follower.wait_s`."""
-        return CONFIGURATION_WAIT_S
+        return LONG_POLL_WAIT_S
 
-    def take(self, record: Record) -> None:
-        """See :meth:`Follower.take`."""
+    def apply_record(self, record: Record) -> None:
+        """See :meth:`Follower.apply_record`."""
         if record.key != CONFIGURATION_KEY or not record.value:
             return
         try:
@@ -100,13 +100,13 @@
             return
         self.context.configure(table, record.value, "store")
 
-    def taken(self, keys: set[str] | None) -> None:
-        """See :meth:`Follower.taken`."""
-        self.known_version = self.context.version
+    def on_applied(self, keys: set[str] | None) -> None:
+        """See :meth:`Follower.on_applied`."""
+        self.long_poll_version = self.context.version
 
-    def _answered(self, asked_at: float) -> None:
-        super()._answered(asked_at)
-        self.freshness.prove(asked_at)
+    def _note_answer(self, read_started_at: float) -> None:
+        super()._note_answer(read_started_at)
+        self.freshness.prove(read_started_at)
 
     # Checking
 
@@ -118,56 +118,56 @@
         float
             Seconds until the next look.
         """
-        if not self.has_begun:
-            return CHECK_LOOK_S
-        self._doubt_waiting_read()
-        asked_at = boot_time()
-        left_s = self.freshness.due_at(self._rank()) - asked_at
+        if not self.has_snapshot:
+            return MIN_CHECK_INTERVAL_S
+        self._check_long_poll()
+        read_started_at = boot_time()
+        left_s = self.freshness.due_at(self._peer_rank()) - read_started_at
         if left_s > 0:
-            return max(CHECK_LOOK_S, left_s)
+            return max(MIN_CHECK_INTERVAL_S, left_s)
         try:
-            self._read_at_once()
+            self._read_now()
         except StoreForgottenError:
             self.synced = False
-            return CHECK_LOOK_S
+            return MIN_CHECK_INTERVAL_S
         except StoreError as error:
-            self._lost(error)
-            return self._check_again_s(asked_at)
-        self._answered(asked_at)
-        return CHECK_LOOK_S
+            self._note_failure(error)
+            return self._retry_delay_s(read_started_at)
+        self._note_answer(read_started_at)
+        return MIN_CHECK_INTERVAL_S
 
-    def _rank(self) -> int:
+    def _peer_rank(self) -> int:
         return 0 if self.readers is None else self.readers.rank()
 
-    def _check_again_s(self, asked_at: float) -> float:
+    def _retry_delay_s(self, read_started_at: float) -> float:
         """Return the time to the next check after one that got no answer."""
-        nodes = 1 if self.readers is None else self.readers.live_nodes()
+        nodes = 1 if self.readers is None else self.readers.live_node_count()
         turns_s = self.freshness.turns_s(nodes) * self.context.random.uniform(0.7, 1.3)
-        pause_s = max(self._backed_off(), turns_s)
-        return max(CHECK_LOOK_S, asked_at + pause_s - boot_time())
+        pause_s = max(self._next_backoff_s(), turns_s)
+        return max(MIN_CHECK_INTERVAL_S, read_started_at + pause_s - boot_time())
 
-    def _read_at_once(self) -> None:
+    def _read_now(self) -> None:
         if not self.synced:
             self._read_newest()
             return
-        page = self.context.store.read(self.topic, self.next)
+        page = self.context.store.read(self.topic, self.next_offset)
         version = self.context.version
-        self._take_page(page)
+        self._apply_page(page)
         if self.context.version > version:
-            self._renew_waiting_read()
+            self._renew_long_poll()
 
-    def _doubt_waiting_read(self) -> None:
+    def _check_long_poll(self) -> None:
         """Begin the waiting read anew if another node brought what it should have."""
-        if self.context.version > self.known_version:
-            self.known_version = self.context.version
-            self._renew_waiting_read()
+        if self.context.version > self.long_poll_version:
+            self.long_poll_version = self.context.version
+            self._renew_long_poll()
 
-    def _renew_waiting_read(self) -> None:
-        if self.waiting is not None and self.asked_at is not None:
+    def _renew_long_poll(self) -> None:
+        if self.long_poll is not None and self.read_started_at is not None:
             log_event("store_read_renewed", topic=self.topic, waited_s=self.waiting_s())
-            self._wait_anew()
+            self._restart_long_poll()
 
-    def hear_proof(self, version: int, age_s: float) -> None:
+    def observe_peer_proof(self, version: int, age_s: float) -> None:
         """Take that another node's `version` was the newest `age_s` seconds ago."""
         if age_s >= 0 and version <= self.context.version:
             self.freshness.prove(boot_time() - age_s)
--- a/packages/endive_gateway/src/endive_gateway/datagrams.py
+++ b/packages/endive_gateway/src/endive_gateway/datagrams.py
@@ -10,7 +10,7 @@
 from endive_node.sockets import listen_udp
 from gevent import socket as gsocket
 
-MOST_DATAGRAM_BYTES = 65_535
+MAX_DATAGRAM_BYTES = 65_535
 RECEIVE_RETRY_S = 0.2
 
 
@@ -34,11 +34,11 @@
         self,
         subject: str,
         decoder: msgspec.msgpack.Decoder,
-        take: Callable[[Any, str], None],
+        handle: Callable[[Any, str], None],
     ) -> None:
         self.subject = subject
         self.decoder = decoder
-        self.take = take
+        self.handle = handle
         self.encoder = msgspec.msgpack.Encoder()
         self.port = 0
         self.socket: socket.socket | None = None
@@ -70,7 +70,7 @@
     def _receive_all(self) -> None:
         while True:
             try:
-                data, source = self.socket.recvfrom(MOST_DATAGRAM_BYTES)
+                data, source = self.socket.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError as error:
                 log_event("not_received", subject=self.subject, error=error)
                 gevent.sleep(RECEIVE_RETRY_S)
@@ -82,4 +82,4 @@
                     "rejected", subject=self.subject, source=source[0], error=error
                 )
                 continue
-            self.take(message, source[0])
+            self.handle(message, source[0])
--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -17,7 +17,7 @@
     StoreUncertainError,
 )
 from endive_gateway.interfaces import Topic
-from endive_gateway.ordering import Ordering
+from endive_gateway.ordering import Autoscaler
 from endive_gateway.peers import Peers
 
 LEASE_S = 2.4
@@ -25,21 +25,21 @@
 wait for a successor that long when a holder dies; shorter, and each renewal's call
 weighs more than what a dead holder delays."""
 
-MARGIN_S = 0.5
+LEASE_MARGIN_S = 0.5
 """Part of the lease that the holder leaves unused, seconds: a call takes up to its
 time-out to arrive, and is not begun when less than that is left."""
 
-RENEW_LEFT_S = 1.1
+RENEW_BEFORE_END_S = 1.1
 """Time left at which the holder renews, seconds: two tries fit in it."""
 
 STEP_S = 0.25
 """How often the holder looks whether there is something to do, seconds."""
 
-RANK_S = 0.4
+RANK_DELAY_S = 0.4
 """Time by which each further candidate waits longer, seconds: one of them claims, and
 the others need not ask the store at all."""
 
-SETTLE_S = 1.3
+REPORT_DELAY_S = 1.3
 """Time after a window's end at which it is reported, seconds: all nodes have told
 their counts several times by then, and plain requests that began in it have ended."""
 
@@ -56,20 +56,20 @@
         Whether this node may hold them; a node that stops may not.
     """
 
-    def __init__(self, context: Context, peers: Peers, ordering: Ordering) -> None:
+    def __init__(self, context: Context, peers: Peers, autoscaler: Autoscaler) -> None:
         self.context = context
         self.peers = peers
-        self.ordering = ordering
-        self.me = context.settings.place.node
-        self.log = DutyLog(lease_s=LEASE_S, margin_s=MARGIN_S)
+        self.autoscaler = autoscaler
+        self.node = context.settings.place.node
+        self.log = DutyLog(lease_s=LEASE_S, margin_s=LEASE_MARGIN_S)
         self.lease = Lease()
-        self.wanted = True
-        self.next = 0
-        self.alone_since: float | None = None
-        self.sent: set[int] = set()
+        self.eligible = True
+        self.next_offset = 0
+        self.no_holder_since: float | None = None
+        self.sent_windows: set[int] = set()
         self.next_try_at = 0.0
-        self.appends = 0
-        self.last_read: DutyRecord | None = None
+        self.append_count = 0
+        self.last_record: DutyRecord | None = None
 
     def run(self) -> None:
         """Hold the duties, or wait to; the body of a greenlet."""
@@ -77,29 +77,29 @@
             try:
                 self.step()
             except StoreForgottenError as error:
-                self.next = error.first
+                self.next_offset = error.first
             except StoreConflictError:
-                self._read_quietly()
+                self._read_ignoring_errors()
             except StoreError as error:
                 log_event("duties_store_failed", error=error)
                 gevent.sleep(RETRY_S)
-            self.ordering.measure(boot_time())
-            self.peers.fence = self.lease.fence if self._held() else 0
-            self.peers.see_duty_end(self.log.end)
+            self.autoscaler.sample_load(boot_time())
+            self.peers.fence = self.lease.fence if self._is_holder() else 0
+            self.peers.observe_duty_log_end(self.log.end)
             gevent.sleep(STEP_S)
 
     def step(self) -> None:
         """Act once, as holder or as candidate; raises StoreError."""
-        if self._held() and self.wanted:
-            self._hold()
+        if self._is_holder() and self.eligible:
+            self._act_as_holder()
         else:
             if self.lease.fence:
                 log_event("duties_lost", fence=self.lease.fence)
                 self.lease.drop()
-            if self.wanted and self._is_due():
+            if self.eligible and self._is_due():
                 self._try_claim()
 
-    def _held(self) -> bool:
+    def _is_holder(self) -> bool:
         return self.lease.held(boot_time())
 
     # Taking over
@@ -114,52 +114,52 @@
         """
         if self.context.table is None:
             return False
-        if self._has_lapsed():
+        if self._log_is_stale():
             return True
         if any(peer.fence for peer in self.peers.live()):
-            self.alone_since = None
+            self.no_holder_since = None
             return False
         now = time.monotonic()
-        if self.alone_since is None:
-            self.alone_since = now
-        return now - self.alone_since >= self._rank_s()
+        if self.no_holder_since is None:
+            self.no_holder_since = now
+        return now - self.no_holder_since >= self._rank_delay_s()
 
-    def _rank_s(self) -> float:
+    def _rank_delay_s(self) -> float:
         """Return how much longer than the first candidate this node waits, seconds.
 
         Who has run for longest has the most complete counts of usage.
         """
-        return RANK_S * self.peers.rank()
+        return RANK_DELAY_S * self.peers.rank()
 
-    def _has_lapsed(self) -> bool:
+    def _log_is_stale(self) -> bool:
         """Return whether no record was told of for as long as a successor waits."""
-        moved_at = self.peers.duty_moved_at
+        moved_at = self.peers.duty_log_moved_at
         if moved_at is None:
             return False
-        return boot_time() - moved_at >= LEASE_S + MARGIN_S + self._rank_s()
+        return boot_time() - moved_at >= LEASE_S + LEASE_MARGIN_S + self._rank_delay_s()
 
     def _try_claim(self) -> None:
-        if self.peers.duty_moved_at is not None:
-            self.log.hear_end(self.peers.duty_end, self.peers.duty_moved_at)
+        if self.peers.duty_log_moved_at is not None:
+            self.log.hear_end(self.peers.duty_log_end, self.peers.duty_log_moved_at)
         self._read()
-        if not self.log.may_claim(self.me, boot_time()):
+        if not self.log.may_claim(self.node, boot_time()):
             return
         sent_at = boot_time()
         offset = self._append(DutyKind.CLAIM, {})
         self.lease.extend(offset + 1, sent_at, self.log)
-        self.ordering.begin(boot_time())
-        self.sent.clear()
+        self.autoscaler.begin_tenure(boot_time())
+        self.sent_windows.clear()
         log_event("duties_claimed", fence=self.lease.fence)
 
     # Holding
 
-    def _hold(self) -> None:
-        if self.lease.until - boot_time() < RENEW_LEFT_S:
+    def _act_as_holder(self) -> None:
+        if self.lease.until - boot_time() < RENEW_BEFORE_END_S:
             self._renew()
         if "usage" in self.context.settings.duties:
             self._report_usage()
         if "scale" in self.context.settings.duties:
-            self.ordering.step(self.me, self.lease, boot_time())
+            self.autoscaler.step(self.node, self.lease, boot_time())
 
     def _renew(self) -> None:
         sent_at = boot_time()
@@ -168,8 +168,8 @@
 
     def release(self) -> None:
         """Let another node take over at once."""
-        self.wanted = False
-        if not self._held():
+        self.eligible = False
+        if not self._is_holder():
             return
         try:
             self._append(DutyKind.RELEASE, {})
@@ -190,7 +190,7 @@
         StoreConflictError
             If the log has moved on without this record; the lease is dropped.
         """
-        record = self._record(kind, body)
+        record = self._make_record(kind, body)
         at = self.log.end
         try:
             offset = self.context.store.append(
@@ -198,46 +198,46 @@
             )
         except (StoreConflictError, StoreUncertainError):
             self._read()
-            if self.last_read == record:
+            if self.last_record == record:
                 return self.log.end - 1
             if self.log.end != at:
                 self.lease.drop()
             raise
         self.log.fold(offset, record)
-        self.next = offset + 1
-        self.log.see_end(self.next, boot_time())
+        self.next_offset = offset + 1
+        self.log.see_end(self.next_offset, boot_time())
         return offset
 
-    def _record(self, kind: DutyKind, body: dict) -> DutyRecord:
-        self.appends += 1
+    def _make_record(self, kind: DutyKind, body: dict) -> DutyRecord:
+        self.append_count += 1
         self.context.reported = max(self.context.reported, self.log.reported)
         return DutyRecord(
             kind,
-            self.me,
+            self.node,
             self.context.incarnation,
             0 if kind is DutyKind.CLAIM else self.lease.fence,
             self.context.reported,
-            {**body, "append": self.appends},
+            {**body, "append": self.append_count},
         )
 
     def _read(self) -> None:
-        page = self.context.store.read(Topic.DUTIES, self.next)
+        page = self.context.store.read(Topic.DUTIES, self.next_offset)
         for entry in page.records:
-            self.next = entry.offset + 1
+            self.next_offset = entry.offset + 1
             try:
                 record = msgspec.json.decode(entry.value or b"", type=DutyRecord)
             except msgspec.MsgspecError as error:
                 log_event("duty_undecodable", offset=entry.offset, error=error)
                 continue
-            self.last_read = record
+            self.last_record = record
             self.log.fold(entry.offset, record)
         self.log.see_end(page.end, boot_time())
 
-    def _read_quietly(self) -> None:
+    def _read_ignoring_errors(self) -> None:
         try:
             self._read()
         except StoreForgottenError as error:
-            self.next = error.first
+            self.next_offset = error.first
         except StoreError as error:
             log_event("duties_store_failed", error=error)
 
@@ -247,16 +247,16 @@
         """Report each window once it is over and counted."""
         if time.monotonic() < self.next_try_at:
             return
-        settled = self.context.true_time.now() - SETTLE_S
+        settled = self.context.true_time.now() - REPORT_DELAY_S
         newest = self.context.meter.window_of(settled) - 1
         known = max(self.context.reported, self.log.reported)
-        for window in range(max(known + 1, self._oldest(newest)), newest + 1):
-            self._decide_window(window)
+        for window in range(max(known + 1, self._oldest_window(newest)), newest + 1):
+            self._record_window(window)
         for window, counts in sorted(self.log.usage.items()):
-            if window not in self.sent and window > newest - 3:
+            if window not in self.sent_windows and window > newest - 3:
                 self._send_window(window, counts)
 
-    def _oldest(self, newest: int) -> int:
+    def _oldest_window(self, newest: int) -> int:
         """Return the oldest window worth reporting now."""
         bounds = self.context.settings.bounds
         late = int(bounds.usage_late_s // bounds.usage_window_s)
@@ -264,7 +264,7 @@
         start = self.context.true_time.now() - ran_for
         return max(newest - late, self.context.meter.window_of(start))
 
-    def _decide_window(self, window: int) -> None:
+    def _record_window(self, window: int) -> None:
         """Record the counts before they are sent.
 
         Whoever takes over after this node died in between sends the same ones.
@@ -276,13 +276,13 @@
         self.context.reported = max(self.context.reported, window)
 
     def _send_window(self, window: int, counts: dict[str, int]) -> None:
-        if not self._held():
+        if not self._is_holder():
             return
         try:
-            self.context.cloud.report_usage(self.me, self.lease.fence, window, counts)
+            self.context.cloud.report_usage(self.node, self.lease.fence, window, counts)
         except CloudError as error:
             log_event("usage_not_reported", window=window, error=error)
             self.next_try_at = time.monotonic() + RETRY_S
             return
-        self.sent.add(window)
+        self.sent_windows.add(window)
         log_event("usage_reported", window=window, counts=sum(counts.values()))
--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -19,28 +19,28 @@
 from endive_gateway.interfaces import Cloud, GatewaySettings, Store, Wire
 from endive_gateway.loops import keep_running
 from endive_gateway.metrics import MetricsServer
-from endive_gateway.ordering import Ordering
+from endive_gateway.ordering import Autoscaler
 from endive_gateway.peers import Peers
 from endive_gateway.prompts import PromptNotes
-from endive_gateway.spending import SpendingNotes
+from endive_gateway.spending import SpendingExchange
 
-SWEEP_S = 0.5
+POOL_SWEEP_INTERVAL_S = 0.5
 """How often idle connections to servers are looked at, seconds: their time-outs are
 whole seconds."""
 
-ROTATION_S = 3.0
+DEREGISTRATION_S = 3.0
 """Time after the signal to stop for which idle callers' connections stay open, seconds.
 The balancer asks once a second and takes a node out after two misses; until then new
 connections come, and a close could cross a request."""
 
-DRAIN_LOOK_S = 0.05
+DRAIN_POLL_S = 0.05
 """How often a node that stops looks whether all requests are answered, seconds."""
 
 EXIT_MARGIN_S = 0.4
 """Time before the end of the grace period at which the process ends by itself, seconds:
 it closes its connections in good order, which the kill would not."""
 
-READY_ANSWER = b"HTTP/1.1 %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+READINESS_RESPONSE = b"HTTP/1.1 %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
 class Gateway:
@@ -72,18 +72,18 @@
             listen_tcp(place.address, place.ready_port), self._answer_ready
         )
         self.peers = Peers(self.context)
-        self.spending = SpendingNotes(
-            self.context, self.peers.believed, lambda: self.peers.sequence
+        self.spending = SpendingExchange(
+            self.context, self.peers.presumed_live, lambda: self.peers.sequence
         )
         self.prompts = PromptNotes(
-            self.context.placer.backlogs, self.peers.believed, time.monotonic
+            self.context.placer.backlogs, self.peers.presumed_live, time.monotonic
         )
         self.configuration = ConfigurationFollower(self.context, self.peers)
         self.servers = ServerFollower(self.context, self.peers)
         self.peers.servers = self.servers
         self.peers.configuration = self.configuration
         self.duties = Duties(
-            self.context, self.peers, Ordering(self.context, self.peers)
+            self.context, self.peers, Autoscaler(self.context, self.peers)
         )
         self.stopped = Event()
         self.stopping_at: float | None = None
@@ -110,7 +110,7 @@
         if self.settings.duties:
             loops.append(self.duties.run)
         if place.metrics_port:
-            self._show_state()
+            self._register_metrics()
             self.metrics = MetricsServer(
                 place.address, place.metrics_port, self.context.metrics
             )
@@ -124,7 +124,7 @@
         self.readiness.start()
         self.callers.start()
 
-    def _show_state(self) -> None:
+    def _register_metrics(self) -> None:
         """Let the metrics show how fresh what the store says is here."""
         show = self.context.metrics.show
         show("endive_configuration_version", lambda: self.context.version)
@@ -139,12 +139,12 @@
         with gevent.Timeout(1.0, False):
             while sock.recv(4096):
                 status = b"200 OK" if self.is_ready else b"503 Service Unavailable"
-                sock.sendall(READY_ANSWER % status)
+                sock.sendall(READINESS_RESPONSE % status)
                 break
 
     def _sweep(self) -> None:
         while True:
-            gevent.sleep(SWEEP_S)
+            gevent.sleep(POOL_SWEEP_INTERVAL_S)
             self.context.pool.sweep()
 
     def reload(self, settings: GatewaySettings) -> None:
@@ -168,13 +168,13 @@
         gevent.spawn(self.duties.release)
         grace = self.settings.bounds.grace_s - EXIT_MARGIN_S
         end = self.stopping_at + grace
-        gevent.sleep(min(ROTATION_S, grace))
+        gevent.sleep(min(DEREGISTRATION_S, grace))
         # A request that comes later than this may last longer than the grace period,
         # and this process would end in the middle of its answer.
         self.callers.stop_accepting()
         while time.monotonic() < end and self.callers.busy:
             self.callers.close_idle()
-            gevent.sleep(DRAIN_LOOK_S)
-        self.peers.tell(gone=True)
+            gevent.sleep(DRAIN_POLL_S)
+        self.peers.broadcast(gone=True)
         log_event("stopped", unfinished=self.callers.busy)
         self.stopped.set()
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -147,7 +147,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerNews:
+class ServerDelta:
     """What a node read of the servers, for others that need not read it.
 
     Attributes
--- a/packages/endive_gateway/src/endive_gateway/listing.py
+++ b/packages/endive_gateway/src/endive_gateway/listing.py
@@ -12,12 +12,12 @@
 from endive_gateway.interfaces import Topic
 from endive_gateway.nodes import NodeEntry
 
-LIST_AGAIN_S = 20.0
+LIST_READ_INTERVAL_S = 20.0
 """How often the list of nodes in the store is read again, seconds: two nodes that
 never heard each other meet there."""
 
-LIST_RETRY_S = 0.4
-MOST_LIST_RETRY_S = 3.0
+MIN_LIST_RETRY_S = 0.4
+MAX_LIST_RETRY_S = 3.0
 """Time before a read of the list that failed is tried again, doubled each time once it
 has been read, seconds. Each call is paid for, and a node that is turned away for 9 s
 would else make 22, a third of a fleet at a time. But a node that never read it knows of
@@ -39,32 +39,34 @@
         Set once the list has been read.
     """
 
-    def __init__(self, context: Context, take: Callable[[list[str]], None]) -> None:
+    def __init__(
+        self, context: Context, on_addresses: Callable[[list[str]], None]
+    ) -> None:
         self.context = context
         self.node = context.settings.place.node
         self.address = context.settings.place.address
-        self.take = take
+        self.on_addresses = on_addresses
         self.is_read = Event()
 
     def follow(self) -> None:
         """List this node, and learn of the others; the body of a greenlet."""
-        listed = False
-        retry_s = LIST_RETRY_S
+        registered = False
+        retry_s = MIN_LIST_RETRY_S
         while True:
             try:
-                listed = listed or self.list_itself()
+                registered = registered or self.register()
                 self.read()
             except StoreError as error:
                 log_event("nodes_not_read", error=error)
                 gevent.sleep(retry_s * self.context.random.uniform(0.7, 1.3))
                 if self.is_read.is_set():
-                    retry_s = min(MOST_LIST_RETRY_S, 2 * retry_s)
+                    retry_s = min(MAX_LIST_RETRY_S, 2 * retry_s)
             else:
-                retry_s = LIST_RETRY_S
-                gap_s = LIST_AGAIN_S if listed else LIST_RETRY_S
+                retry_s = MIN_LIST_RETRY_S
+                gap_s = LIST_READ_INTERVAL_S if registered else MIN_LIST_RETRY_S
                 gevent.sleep(gap_s * self.context.random.uniform(0.7, 1.3))
 
-    def list_itself(self) -> bool:
+    def register(self) -> bool:
         """Enter this node in the list; return whether the store said that it did.
 
         The list is read all the same: where answers are lost, a node would else know of
@@ -89,4 +91,4 @@
                 continue
             addresses.append(entry.address)
         self.is_read.set()
-        self.take(addresses)
+        self.on_addresses(addresses)
--- a/packages/endive_gateway/src/endive_gateway/nodes.py
+++ b/packages/endive_gateway/src/endive_gateway/nodes.py
@@ -29,7 +29,7 @@
     incarnation: int = 0
     sequence: int = 0
     heard_at: float = 0.0
-    known_at: float = 0.0
+    added_at: float = 0.0
     version: int = -1
     fence: int = 0
     work: dict[str, float] = field(default_factory=dict)
--- a/packages/endive_gateway/src/endive_gateway/servers.py
+++ b/packages/endive_gateway/src/endive_gateway/servers.py
@@ -7,7 +7,7 @@
 
 from endive_gateway.interfaces import ServerEntry, ServerState
 
-RETURN_GRACE_S = 1.0
+LAPSE_GRACE_S = 1.0
 """Time for which a server whose entry lapsed while the store was away is still used,
 seconds. Such entries are back within two seconds of its return. But the server may
 really be leaving, and may get no request two seconds after its entry went: that may
@@ -27,7 +27,7 @@
     """
 
     entry: ServerEntry
-    gone_at: float | None = None
+    drop_at: float | None = None
     contradicted: bool = False
 
     @property
@@ -65,18 +65,18 @@
         """
         known = self.servers.get(entry.id)
         if known is not None:
-            known.gone_at = None
+            known.drop_at = None
             age = (entry.incarnation, entry.sequence)
             if age < (known.entry.incarnation, known.entry.sequence):
                 return False
         before = known.entry if known else None
         if known is None:
             known = self.servers[entry.id] = KnownServer(entry)
-        elif _place(before) != _place(entry):
+        elif _process_key(before) != _process_key(entry):
             known.contradicted = False
         known.entry = entry
-        changed = before is None or _meaning(before) != _meaning(entry)
-        if changed:
+        content_changed = before is None or _content(before) != _content(entry)
+        if content_changed:
             log_event(
                 "server_entry",
                 server=entry.id,
@@ -87,7 +87,7 @@
                 reclaimable=entry.reclaimable,
                 leaves_in_s=entry.leaves_in_s,
             )
-        return changed
+        return content_changed
 
     def drop(self, server_id: str, now: float, *, after_outage: bool) -> bool:
         """Give up a server whose entry is gone; return whether anything changed.
@@ -101,9 +101,9 @@
         if known is None:
             return False
         if after_outage and known.entry.state is ServerState.READY:
-            if known.gone_at is None:
-                known.gone_at = now + RETURN_GRACE_S
-                log_event("server_lapsed", server=server_id, grace_s=RETURN_GRACE_S)
+            if known.drop_at is None:
+                known.drop_at = now + LAPSE_GRACE_S
+                log_event("server_lapsed", server=server_id, grace_s=LAPSE_GRACE_S)
             return False
         del self.servers[server_id]
         log_event("server_gone", server=server_id)
@@ -112,14 +112,14 @@
     @property
     def has_lapsed(self) -> bool:
         """Whether any server is in its grace."""
-        return any(known.gone_at is not None for known in self.servers.values())
+        return any(known.drop_at is not None for known in self.servers.values())
 
     def sweep(self, now: float) -> bool:
         """Give up the servers whose grace is over; return whether any was."""
         over = [
             server_id
             for server_id, known in self.servers.items()
-            if known.gone_at is not None and now >= known.gone_at
+            if known.drop_at is not None and now >= known.drop_at
         ]
         for server_id in over:
             del self.servers[server_id]
@@ -140,11 +140,11 @@
             listener()
 
 
-def _place(entry: ServerEntry) -> tuple:
+def _process_key(entry: ServerEntry) -> tuple:
     return (entry.address, entry.incarnation)
 
 
-def _meaning(entry: ServerEntry) -> tuple:
+def _content(entry: ServerEntry) -> tuple:
     return (
         entry.service,
         entry.address,
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -29,11 +29,11 @@
 from endive_gateway.context import Context
 from endive_gateway.datagrams import DatagramPort
 
-MOST_ENTRIES = 20
+MAX_ENTRIES = 20
 """Nodes' spending in one datagram, so that it stays within one frame of 1,500 bytes."""
 
 
-class Spending(msgspec.Struct, array_like=True):
+class NodeSpending(msgspec.Struct, array_like=True):
     """What one node has spent of one organisation's limit since it started.
 
     Attributes
@@ -59,13 +59,13 @@
         return Spender(self.address, self.incarnation, self.tellings, self.age_s)
 
 
-class Notes(msgspec.Struct, array_like=True, tag="notes"):
+class SpendingReport(msgspec.Struct, array_like=True, tag="notes"):
     """What some nodes have spent."""
 
-    entries: list[Spending]
+    entries: list[NodeSpending]
 
 
-class Ask(msgspec.Struct, array_like=True, tag="ask"):
+class SpendRequest(msgspec.Struct, array_like=True, tag="ask"):
     """A node's request to spend; its total holds what it asks for.
 
     Attributes
@@ -75,20 +75,20 @@
     """
 
     number: int
-    total: Spending
+    total: NodeSpending
 
 
-class Grant(msgspec.Struct, array_like=True, tag="grant"):
+class SpendReply(msgspec.Struct, array_like=True, tag="grant"):
     """The answer to one request to spend; 0 seconds to wait let it."""
 
     number: int
     wait_s: float
 
 
-DECODER = msgspec.msgpack.Decoder(Notes | Ask | Grant)
+DECODER = msgspec.msgpack.Decoder(SpendingReport | SpendRequest | SpendReply)
 
 
-class SpendingNotes:
+class SpendingExchange:
     """Single requests' spending: noted to others, asked for, and passed on.
 
     Parameters
@@ -102,31 +102,31 @@
     def __init__(
         self,
         context: Context,
-        others: Callable[[], list[str]],
+        peer_addresses: Callable[[], list[str]],
         tellings: Callable[[], int],
     ) -> None:
         self.context = context
-        self.others = others
+        self.peer_addresses = peer_addresses
         self.tellings = tellings
         self.address = context.settings.place.address
         self.count = SpendingCount()
-        self.counting: dict[str, tuple[list[str], str]] = {}
-        self.asked = 0
-        self.asked_units: Counter[str] = Counter()
-        self.answers: dict[int, AsyncResult] = {}
-        self.unasked_until: dict[str, float] = {}
-        self.datagrams = DatagramPort("spending", DECODER, self.take_message)
+        self.counting_cache: dict[str, tuple[list[str], str]] = {}
+        self.requests_sent = 0
+        self.requested_units: Counter[str] = Counter()
+        self.pending_replies: dict[int, AsyncResult] = {}
+        self.skipped_until: dict[str, float] = {}
+        self.datagrams = DatagramPort("spending", DECODER, self.handle_message)
 
     def start(self, port: int) -> None:
         """Begin to receive, and to hear of this node's own spending."""
         self.datagrams.start(self.address, port)
-        self.context.take_units = self.take
+        self.context.take_units = self.try_spend
 
     def stop(self) -> None:
         """Stop receiving and close the port."""
         self.datagrams.stop()
 
-    def take(self, terms: OrganisationTerms, units: float) -> float:
+    def try_spend(self, terms: OrganisationTerms, units: float) -> float:
         """Return 0 and spend `units` if a request may come, else the seconds to wait.
 
         See :meth:`endive_core.sharing.SharedLimits.wait_s`. Among many nodes, what is
@@ -136,63 +136,65 @@
         for _ in range(MOST_ASKED):
             now = time.monotonic()
             left, _ = limits.left(terms.name, now, rate=terms.rate, burst=terms.burst)
-            counting = self._counting_node(terms.name)
-            if counting == self.address or not self._must_ask(units, left):
-                return self._take_alone(terms, units, now)
-            wait_s = self._ask(counting, terms.name, units)
+            counter = self._counting_node(terms.name)
+            if counter == self.address or not self._must_request(units, left):
+                return self._spend_locally(terms, units, now)
+            wait_s = self._request(counter, terms.name, units)
             if wait_s is not None:
                 return wait_s
         return ASK_AGAIN_S
 
-    def _must_ask(self, units: float, left: float) -> bool:
+    def _must_request(self, units: float, left: float) -> bool:
         nodes = len(self.context.limits.peers) + 1
         if nodes <= ASKING_NODES or left <= 0:
             return False
         return not may_spend_unasked(units, left=left, nodes=nodes)
 
-    def _take_alone(self, terms: OrganisationTerms, units: float, now: float) -> float:
+    def _spend_locally(
+        self, terms: OrganisationTerms, units: float, now: float
+    ) -> float:
         wait_s = self.context.limits.wait_s(
             terms.name, units, now, rate=terms.rate, burst=terms.burst
         )
         if wait_s <= 0:
-            self.spent(terms.name, units)
+            self.report_spent(terms.name, units)
         return wait_s
 
-    def _ask(self, counting: str, organisation: str, units: float) -> float | None:
+    def _request(self, counter: str, organisation: str, units: float) -> float | None:
         """Spend if the node that adds up lets it; return its answer, or ``None``.
 
         A node that was killed or hangs would be asked by each request in vain until it
         is no longer listed, up to three seconds, and the organisation's callers would
         be refused.
         """
-        self.asked += 1
-        number, answer = self.asked, AsyncResult()
-        self.answers[number] = answer
-        self.asked_units[organisation] += units
+        self.requests_sent += 1
+        number, reply = self.requests_sent, AsyncResult()
+        self.pending_replies[number] = reply
+        self.requested_units[organisation] += units
         try:
-            total = self._own(organisation, self.asked_units[organisation])
-            self._send(Ask(number, total), [counting])
-            wait_s = answer.get(timeout=ASK_S)
+            total = self._own_entry(organisation, self.requested_units[organisation])
+            self._send(SpendRequest(number, total), [counter])
+            wait_s = reply.get(timeout=ASK_S)
         except gevent.Timeout:
-            self._pass_over(counting)
-            log_event("limit_not_answered", peer=counting, organisation=organisation)
+            self._skip_node(counter)
+            log_event("limit_not_answered", peer=counter, organisation=organisation)
             return None
         finally:
-            del self.answers[number]
-            self.asked_units[organisation] -= units
+            del self.pending_replies[number]
+            self.requested_units[organisation] -= units
         if wait_s <= 0:
             self.context.limits.spend(organisation, units)
         return wait_s
 
-    def _pass_over(self, counting: str) -> None:
+    def _skip_node(self, counter: str) -> None:
         """Let another node add up for a while."""
         now = time.monotonic()
-        self.unasked_until = {n: t for n, t in self.unasked_until.items() if t > now}
-        self.unasked_until[counting] = now + UNASKED_S
+        self.skipped_until = {n: t for n, t in self.skipped_until.items() if t > now}
+        self.skipped_until[counter] = now + UNASKED_S
 
-    def answer(self, ask: Ask) -> None:
+    def handle_request(self, request: SpendRequest) -> None:
         """Let another node spend, or say when it may."""
-        total = ask.total
+        total = request.total
         terms = self.context.terms(total.organisation)
         if terms is None or total.address == self.address:
             return
@@ -208,19 +210,19 @@
         )
         if wait_s is None:
             return
-        self._send(Grant(ask.number, wait_s), [total.address])
+        self._send(SpendReply(request.number, wait_s), [total.address])
         if wait_s <= 0:
-            self._add(total.organisation, total.address, total.units - before)
+            self._count(total.organisation, total.address, total.units - before)
 
-    def spent(self, organisation: str, units: float) -> None:
+    def report_spent(self, organisation: str, units: float) -> None:
         """Note that this node has spent `units` more of a limit."""
-        counting = self._counting_node(organisation)
-        if counting == self.address:
-            self._add(organisation, self.address, units)
+        counter = self._counting_node(organisation)
+        if counter == self.address:
+            self._count(organisation, self.address, units)
         else:
-            self._send(Notes([self._own(organisation)]), [counting])
+            self._send(SpendingReport([self._own_entry(organisation)]), [counter])
 
-    def hear(self, entries: list[Spending]) -> None:
+    def receive_report(self, entries: list[NodeSpending]) -> None:
         """Take over what another node notes."""
         limits = self.context.limits
         now = time.monotonic()
@@ -228,22 +230,24 @@
             if entry.address == self.address:
                 continue
             new = limits.note(entry.spender, entry.organisation, entry.units, now)
-            counting = self._counting_node(entry.organisation)
-            if new > 0 and counting == self.address:
-                self._add(entry.organisation, entry.address, new)
+            counter = self._counting_node(entry.organisation)
+            if new > 0 and counter == self.address:
+                self._count(entry.organisation, entry.address, new)
 
     def _counting_node(self, organisation: str) -> str:
         """Return who adds up; a hash a node is computed only when the nodes change."""
         now = time.monotonic()
-        asked = [n for n in self.others() if self.unasked_until.get(n, 0.0) <= now]
-        nodes = [self.address, *asked]
-        known, counting = self.counting.get(organisation, (None, ""))
+        candidates = [
+            n for n in self.peer_addresses() if self.skipped_until.get(n, 0.0) <= now
+        ]
+        nodes = [self.address, *candidates]
+        known, counter = self.counting_cache.get(organisation, (None, ""))
         if known != nodes:
-            counting = counting_node(organisation, nodes)
-            self.counting[organisation] = nodes, counting
-        return counting
+            counter = counting_node(organisation, nodes)
+            self.counting_cache[organisation] = nodes, counter
+        return counter
 
-    def _add(self, organisation: str, address: str, units: float) -> None:
+    def _count(self, organisation: str, address: str, units: float) -> None:
         """Add up, and tell all others if it is time to."""
         self.count.add(organisation, address, units)
         terms = self.context.terms(organisation)
@@ -253,26 +257,28 @@
             organisation, time.monotonic(), rate=terms.rate, burst=terms.burst
         )
         due = self.count.take_due(organisation, left=left, most=most)
-        found = [self._entry(organisation, spender) for spender in due]
+        found = [self._entry_of(organisation, spender) for spender in due]
         entries = [entry for entry in found if entry is not None]
-        addresses = self.others()
-        for first in range(0, len(entries), MOST_ENTRIES):
-            self._send(Notes(entries[first : first + MOST_ENTRIES]), addresses)
+        addresses = self.peer_addresses()
+        for first in range(0, len(entries), MAX_ENTRIES):
+            self._send(SpendingReport(entries[first : first + MAX_ENTRIES]), addresses)
 
-    def _entry(self, organisation: str, address: str) -> Spending | None:
+    def _entry_of(self, organisation: str, address: str) -> NodeSpending | None:
         """Return what is to be told of a node; nothing if it left or started anew."""
         if address == self.address:
-            return self._own(organisation)
+            return self._own_entry(organisation)
         peer = self.context.limits.peers.get(address)
         if peer is None or organisation not in peer.noted:
             return None
         tellings, units = peer.noted[organisation]
         age_s = time.monotonic() - peer.born_at
-        return Spending(address, peer.incarnation, tellings, age_s, organisation, units)
+        return NodeSpending(
+            address, peer.incarnation, tellings, age_s, organisation, units
+        )
 
-    def _own(self, organisation: str, asked: float = 0.0) -> Spending:
-        units = self.context.limits.tell().get(organisation, 0.0) + asked
-        return Spending(
+    def _own_entry(self, organisation: str, requested: float = 0.0) -> NodeSpending:
+        units = self.context.limits.tell().get(organisation, 0.0) + requested
+        return NodeSpending(
             self.address,
             self.context.incarnation,
             self.tellings(),
@@ -281,16 +287,20 @@
             units,
         )
 
-    def _send(self, message: Notes | Ask | Grant, addresses: list[str]) -> None:
+    def _send(
+        self, message: SpendingReport | SpendRequest | SpendReply, addresses: list[str]
+    ) -> None:
         self.datagrams.send(message, addresses)
 
-    def take_message(self, message: Notes | Ask | Grant, _address: str) -> None:
+    def handle_message(
+        self, message: SpendingReport | SpendRequest | SpendReply, _address: str
+    ) -> None:
         """Take over what another node sent."""
         match message:
-            case Notes(entries):
-                self.hear(entries)
-            case Ask():
-                self.answer(message)
-            case Grant(number, wait_s):
-                if number in self.answers:
-                    self.answers[number].set(wait_s)
+            case SpendingReport(entries):
+                self.receive_report(entries)
+            case SpendRequest():
+                self.handle_request(message)
+            case SpendReply(number, wait_s):
+                if number in self.pending_replies:
+                    self.pending_replies[number].set(wait_s)
--- a/packages/endive_gateway/src/endive_gateway/tellings.py
+++ b/packages/endive_gateway/src/endive_gateway/tellings.py
@@ -6,10 +6,10 @@
 import msgspec
 
 from endive_gateway.exceptions import UndecodableError
-from endive_gateway.interfaces import Record, ServerNews
+from endive_gateway.interfaces import Record, ServerDelta
 
 
-class Telling(msgspec.Struct, array_like=True):
+class StateMessage(msgspec.Struct, array_like=True):
     """What a node tells the others, whole figures and no changes.
 
     Attributes
@@ -60,18 +60,18 @@
     crashes: list[tuple[str, str, float]]
     fence: int
     reported: int
-    news: ServerNews | None = None
-    duty_end: int = 0
-    failing: dict[str, int] = {}
+    server_delta: ServerDelta | None = None
+    duty_log_end: int = 0
+    server_failures: dict[str, int] = {}
     age_s: float = 0.0
-    starting: dict[str, float] = {}
+    pending_prompt_tokens: dict[str, float] = {}
     proof_age_s: float = -1.0
 
 
-DECODER = msgspec.msgpack.Decoder(Telling)
+DECODER = msgspec.msgpack.Decoder(StateMessage)
 
-CHANGES = msgspec.msgpack.Decoder(list[tuple[int, str, bytes | None]])
-MOST_CHANGES_BYTES = 1_000_000
+CHANGES_DECODER = msgspec.msgpack.Decoder(list[tuple[int, str, bytes | None]])
+MAX_UNPACKED_BYTES = 1_000_000
 """Largest size of unpacked changes: a datagram of zeros would else unpack to more
 memory than a node has."""
 
@@ -91,7 +91,7 @@
     if not packed:
         return []
     try:
-        data = zlib.decompressobj().decompress(packed, MOST_CHANGES_BYTES)
-        return [Record(*change) for change in CHANGES.decode(data)]
+        data = zlib.decompressobj().decompress(packed, MAX_UNPACKED_BYTES)
+        return [Record(*change) for change in CHANGES_DECODER.decode(data)]
     except (zlib.error, msgspec.MsgspecError) as error:
         raise UndecodableError(str(error)) from None
--- a/packages/endive_gateway/tests/server_builders.py
+++ b/packages/endive_gateway/tests/server_builders.py
@@ -8,7 +8,7 @@
 from gevent.server import StreamServer
 
 
-class Seen:
+class ReceivedRequest:
     """One request as a server got it."""
 
     def __init__(self, message):
@@ -52,7 +52,7 @@
                         self.closed.append(time.monotonic())
                         return
                     parser.feed(data)
-                seen = Seen(parser.messages.popleft())
+                seen = ReceivedRequest(parser.messages.popleft())
                 self.seen.append(seen)
                 entry = self.script.pop(0) if self.script else ok
                 if entry(sock, seen) is False:
--- a/packages/endive_gateway/tests/store_builders.py
+++ b/packages/endive_gateway/tests/store_builders.py
@@ -80,13 +80,13 @@
     raise StoreError("down")
 
 
-class FewReaders:
+class NonReader:
     """Readers among which a node is not."""
 
     def is_reader(self):
         return False
 
-    def reads_alone(self):
+    def every_node_reads(self):
         return False
 
     def await_first_configuration(self):
@@ -95,11 +95,11 @@
     def rank(self):
         return 9
 
-    def live_nodes(self):
+    def live_node_count(self):
         return 100
 
-    def hasten(self):
-        self.hastened = True
+    def broadcast_soon(self):
+        self.broadcast_requested = True
 
 
 class RecordingCloud:
--- a/packages/endive_gateway/tests/test_configuration_follower.py
+++ b/packages/endive_gateway/tests/test_configuration_follower.py
@@ -4,10 +4,10 @@
 from endive_gateway.clocks import boot_time
 from endive_gateway.configuration import ConfigurationFollower
 from endive_gateway.exceptions import StoreError
-from endive_gateway.following import FAILED_GAP_S, MAX_FAILED_GAP_S
+from endive_gateway.following import MAX_READ_BACKOFF_S, MIN_READ_BACKOFF_S
 from endive_gateway.interfaces import Bounds, Topic
 from gateway_builders import make_context, make_table
-from store_builders import FewReaders, MemoryStore, store_down, write
+from store_builders import MemoryStore, NonReader, store_down, write
 
 
 @pytest.fixture
@@ -94,7 +94,7 @@
     store.fault = store_down
     gaps = [follower.step() for _ in range(6)]
     assert context.version == 1
-    assert all(0.5 * FAILED_GAP_S < gap <= MAX_FAILED_GAP_S for gap in gaps)
+    assert all(0.5 * MIN_READ_BACKOFF_S < gap <= MAX_READ_BACKOFF_S for gap in gaps)
     assert gaps[-1] > gaps[0]
 
 
@@ -102,7 +102,7 @@
     """After a power loss a node has the configuration from another one. Reading it from
     the store all the same would fill its slow link while callers come back."""
     write(store, Topic.CONFIGURATION, "config", 3)
-    follower = ConfigurationFollower(context, FewReaders())
+    follower = ConfigurationFollower(context, NonReader())
     context.configure(make_table(version=3), b"3", "b")
     reads = []
     store.newest = lambda topic: reads.append(topic)
@@ -137,7 +137,7 @@
     context = make_context(store=store, bounds=Bounds(config_s=0.2))
     running = gevent.spawn(ConfigurationFollower(context).run)
     try:
-        gevent.sleep(FAILED_GAP_S)
+        gevent.sleep(MIN_READ_BACKOFF_S)
         assert context.version == 3
         write(store, Topic.CONFIGURATION, "config", 7)
         gevent.sleep(0.2)
@@ -152,49 +152,49 @@
     """Another node told of the change; this one's own read had been lost."""
     follower = ConfigurationFollower(context)
     context.configure(make_table(version=3), b"3", "store")
-    follower.taken(None)
-    follower.waiting = gevent.spawn(gevent.sleep, 9.0)
-    follower.asked_at = boot_time()
+    follower.on_applied(None)
+    follower.long_poll = gevent.spawn(gevent.sleep, 9.0)
+    follower.read_started_at = boot_time()
     follower.freshness.prove(boot_time())
-    first = follower.waiting
+    first = follower.long_poll
     follower.check()
-    assert follower.waiting is first
+    assert follower.long_poll is first
     context.configure(make_table(version=4), b"4", "b")
     follower.check()
     gevent.sleep(0)
     assert first.dead
-    assert not follower.waiting.dead
-    follower.waiting.kill()
+    assert not follower.long_poll.dead
+    follower.long_poll.kill()
 
 
 def test_a_node_does_not_ask_for_what_others_know(context, store):
-    follower = ConfigurationFollower(context, FewReaders())
+    follower = ConfigurationFollower(context, NonReader())
     write(store, Topic.CONFIGURATION, "config", 3)
     context.configure(make_table(version=3), b"3", "b")
     overdue(follower)
-    follower.hear_proof(3, 0.1)
+    follower.observe_peer_proof(3, 0.1)
     assert follower.check() > 0
     assert store.calls == []
 
 
 def test_a_proof_of_a_newer_version_says_nothing_of_an_older_one(context, store):
     """A node that took it so would go on with the old one for as long."""
-    follower = ConfigurationFollower(context, FewReaders())
+    follower = ConfigurationFollower(context, NonReader())
     write(store, Topic.CONFIGURATION, "config", 4)
     context.configure(make_table(version=3), b"3", "b")
     overdue(follower)
-    follower.hear_proof(4, 0.1)
+    follower.observe_peer_proof(4, 0.1)
     follower.check()
     assert context.version == 4
 
 
 def test_a_node_that_is_told_reads_by_itself_once_nothing_is_proven(context, store):
     """Readers that know of the servers may know nothing of the configuration."""
-    follower = ConfigurationFollower(context, FewReaders())
+    follower = ConfigurationFollower(context, NonReader())
     write(store, Topic.CONFIGURATION, "config", 4)
     context.configure(make_table(version=3), b"3", "b")
     overdue(follower)
-    follower.hear_proof(3, -1.0)
+    follower.observe_peer_proof(3, -1.0)
     follower.check()
     assert context.version == 4
 
@@ -204,17 +204,17 @@
     context.configure(make_table(version=3), b"3", "b")
     store.fault = store_down
     overdue(follower)
-    assert all(follower.check() <= MAX_FAILED_GAP_S for _ in range(6))
-    assert follower.lost_at is not None
+    assert all(follower.check() <= MAX_READ_BACKOFF_S for _ in range(6))
+    assert follower.unavailable_since is not None
 
 
 def test_among_many_nodes_a_check_that_fails_waits_for_its_turn(context, store):
     """A store that comes back is not met by all nodes at once."""
-    follower = ConfigurationFollower(context, FewReaders())
+    follower = ConfigurationFollower(context, NonReader())
     context.configure(make_table(version=3), b"3", "b")
     store.fault = store_down
     overdue(follower)
-    assert follower.check() > MAX_FAILED_GAP_S
+    assert follower.check() > MAX_READ_BACKOFF_S
 
 
 def test_a_check_that_failed_does_not_outlast_the_stores_return(store):
@@ -222,13 +222,13 @@
     context = make_context(store=store, bounds=Bounds(config_s=0.3))
     write(store, Topic.CONFIGURATION, "config", 3)
     context.configure(make_table(version=3), b"3", "b")
-    follower = ConfigurationFollower(context, FewReaders())
+    follower = ConfigurationFollower(context, NonReader())
     store.fault = store_down
     running = gevent.spawn(follower.run)
     try:
         gevent.sleep(0.3)
         store.fault = None
-        follower.hear_proof(3, 0.0)
+        follower.observe_peer_proof(3, 0.0)
         write(store, Topic.CONFIGURATION, "config", 4)
         gevent.sleep(0.3)
         assert context.version == 4
--- a/packages/endive_gateway/tests/test_documents.py
+++ b/packages/endive_gateway/tests/test_documents.py
@@ -4,8 +4,8 @@
 import gevent
 import pytest
 from endive_gateway.documents import (
-    SERVED_AT_ONCE,
-    DocumentExchange,
+    MAX_CONCURRENT_SENDS,
+    ConfigurationExchange,
     receive_document,
 )
 from gateway_builders import make_context, make_table
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class MadeHolder:
+class FakeSource:
     address: str
     node: str = "b"
     version: int = 9
@@ -26,7 +26,7 @@
 def serving():
     context = make_context()
     context.configure(make_table(version=9), b"9", "test")
-    exchange = DocumentExchange(context, list)
+    exchange = ConfigurationExchange(context, list)
     exchange.start("127.0.0.1", PORT)
     yield exchange
     exchange.stop()
@@ -34,7 +34,7 @@
 
 def pulled(context, exchange, *, within_s):
     started = time.monotonic()
-    exchange.pull(PORT, alone=False)
+    exchange.pull(PORT, reads_store=False)
     while context.version != 9 and time.monotonic() - started < within_s:
         gevent.sleep(0.01)
     return time.monotonic() - started
@@ -47,8 +47,8 @@
     silent = StreamServer(("127.0.0.2", PORT), lambda sock, _address: sock.close())
     silent.start()
     context = make_context()
-    holders = [MadeHolder("127.0.0.2"), MadeHolder("127.0.0.1")]
-    exchange = DocumentExchange(context, lambda: holders)
+    sources = [FakeSource("127.0.0.2"), FakeSource("127.0.0.1")]
+    exchange = ConfigurationExchange(context, lambda: sources)
     taken_s = pulled(context, exchange, within_s=2.0)
     silent.stop(0)
     assert context.version == 9
@@ -58,12 +58,12 @@
 def test_a_busy_node_turns_others_away_at_once(serving):
     """Forty nodes ask one at the same time. Were all served, each would get a fortieth
     of its link, and none would have the configuration within a second."""
-    serving.serving = SERVED_AT_ONCE
+    serving.active_sends = MAX_CONCURRENT_SENDS
     started = time.monotonic()
     with pytest.raises(OSError):
         receive_document("127.0.0.1", PORT)
     assert time.monotonic() - started < 0.2
-    serving.serving = 0
+    serving.active_sends = 0
     assert receive_document("127.0.0.1", PORT) == b"9"
 
 
@@ -71,11 +71,12 @@
     """Nodes ask and lose power. Were their places kept, a few of them would keep all
     others from the configuration."""
     socks = [
-        gsocket.create_connection(("127.0.0.1", PORT)) for _ in range(SERVED_AT_ONCE)
+        gsocket.create_connection(("127.0.0.1", PORT))
+        for _ in range(MAX_CONCURRENT_SENDS)
     ]
     gevent.sleep(0.05)
     for sock in socks:
         sock.close()
     gevent.sleep(0.05)
-    assert serving.serving == 0
+    assert serving.active_sends == 0
     assert receive_document("127.0.0.1", PORT) == b"9"
--- a/packages/endive_gateway/tests/test_duties.py
+++ b/packages/endive_gateway/tests/test_duties.py
@@ -3,10 +3,10 @@
 import pytest
 from endive_gateway import duties as duties_module
 from endive_gateway import peers as peers_module
-from endive_gateway.duties import LEASE_S, MARGIN_S, RANK_S, Duties
+from endive_gateway.duties import LEASE_MARGIN_S, LEASE_S, RANK_DELAY_S, Duties
 from endive_gateway.exceptions import StoreError, StoreUncertainError
 from endive_gateway.interfaces import Topic
-from endive_gateway.ordering import Ordering
+from endive_gateway.ordering import Autoscaler
 from endive_gateway.peers import Peers
 from gateway_builders import fixed_time, make_context, make_table
 from store_builders import MemoryStore, RecordingCloud, store_down
@@ -42,7 +42,7 @@
         self.context.started_at -= 3600
         self.peers = Peers(self.context)
         self.duties = Duties(
-            self.context, self.peers, Ordering(self.context, self.peers)
+            self.context, self.peers, Autoscaler(self.context, self.peers)
         )
         self.at(WALL)
 
@@ -58,7 +58,7 @@
 
     @property
     def holds(self):
-        return self.duties._held()
+        return self.duties._is_holder()
 
 
 @pytest.fixture
@@ -91,7 +91,7 @@
     first.step()
     fence = first.duties.lease.fence
     second.step()
-    clock.time += LEASE_S + MARGIN_S + 0.1
+    clock.time += LEASE_S + LEASE_MARGIN_S + 0.1
     second.step()
     assert second.holds
     assert not first.holds
@@ -121,7 +121,7 @@
 
 def test_a_node_that_hears_a_holder_does_not_ask_the_store(clock, store, cloud):
     node = Node("a", store, cloud)
-    peer = node.peers._add("127.0.0.9")
+    peer = node.peers._add_peer("127.0.0.9")
     peer.heard_at, peer.fence, peer.node = time.monotonic(), 4, "b"
     node.step()
     assert not store.calls
@@ -133,15 +133,15 @@
     servers unordered for three seconds more."""
     first, second = Node("a", store, cloud), Node("b", store, cloud)
     first.step()
-    second.peers.see_duty_end(first.duties.log.end)
-    peer = second.peers._add("127.0.0.9")
+    second.peers.observe_duty_log_end(first.duties.log.end)
+    peer = second.peers._add_peer("127.0.0.9")
     peer.node, peer.fence = "a", 1
-    clock.time += LEASE_S + MARGIN_S - 0.1
+    clock.time += LEASE_S + LEASE_MARGIN_S - 0.1
     peer.heard_at = clock.time
     calls = len(store.calls)
     second.step()
     assert len(store.calls) == calls
-    clock.time += 0.2 + RANK_S
+    clock.time += 0.2 + RANK_DELAY_S
     second.step()
     assert second.holds
     assert not first.holds
@@ -149,11 +149,11 @@
 
 def test_who_runs_for_longer_goes_first(clock, store, cloud):
     node = Node("a", store, cloud)
-    peer = node.peers._add("127.0.0.9")
+    peer = node.peers._add_peer("127.0.0.9")
     peer.heard_at, peer.node, peer.incarnation = clock.time, "b", 1
     node.step()
     assert not node.holds
-    clock.time += RANK_S + 0.01
+    clock.time += RANK_DELAY_S + 0.01
     peer.heard_at = clock.time
     node.step()
     assert node.holds
@@ -215,7 +215,7 @@
     first.step()
     second.at(WALL + WINDOW_S + 2)
     second.step()
-    clock.time += LEASE_S + MARGIN_S + 0.1
+    clock.time += LEASE_S + LEASE_MARGIN_S + 0.1
     begin(second, window, 9)
     second.at(WALL + WINDOW_S + 6)
     second.step()
--- a/packages/endive_gateway/tests/test_following.py
+++ b/packages/endive_gateway/tests/test_following.py
@@ -5,12 +5,12 @@
 
 import pytest
 from endive_gateway.following import (
-    HISTORY_S,
+    CHANGE_HISTORY_S,
     ServerFollower,
 )
-from endive_gateway.interfaces import ServerNews, Topic
+from endive_gateway.interfaces import ServerDelta, Topic
 from gateway_builders import make_context
-from store_builders import FewReaders, MemoryStore, store_down, write
+from store_builders import MemoryStore, NonReader, store_down, write
 
 
 @pytest.fixture
@@ -77,7 +77,7 @@
     """Return a reader and a node that is told, both knowing one server."""
     write(store, Topic.SERVERS, "i-1", server(sequence=1))
     reader = ServerFollower(make_context(store=store))
-    listener = ServerFollower(make_context(store=store), FewReaders())
+    listener = ServerFollower(make_context(store=store), NonReader())
     reader.step()
     listener.step()
     return reader, listener
@@ -85,12 +85,12 @@
 
 def test_a_node_that_is_told_need_not_read(store):
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.apply_delta(reader.server_delta())
     calls = len(store.calls)
     write(store, Topic.SERVERS, "i-2", server(sequence=1))
     write(store, Topic.SERVERS, "i-1", server(sequence=2, state="leaving"))
     reader.step()
-    listener.hear(reader.news())
+    listener.apply_delta(reader.server_delta())
     listener.step()
     assert len(store.calls) == calls + 1
     assert listener.context.registry.get("i-2").usable
@@ -101,14 +101,14 @@
     """A node missed several tellings in a row. Taking the next ones as they are, it
     would never hear of the server that began to leave in between."""
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.apply_delta(reader.server_delta())
     write(store, Topic.SERVERS, "i-1", server(sequence=2, state="leaving"))
     reader.step()
     reader.changes.clear()
-    reader.floor = reader.next
-    reader.marks.clear()
-    reader.marks.append((time.monotonic(), reader.next))
-    listener.hear(reader.news())
+    reader.history_start = reader.next_offset
+    reader.checkpoints.clear()
+    reader.checkpoints.append((time.monotonic(), reader.next_offset))
+    listener.apply_delta(reader.server_delta())
     assert listener.context.registry.get("i-1").usable
     listener.relayed_at -= 10.0
     listener.step()
@@ -119,22 +119,22 @@
     """A zone is reclaimed, and more servers begin to leave than a telling has room for.
     A node that waited for news it can join sent them requests for 2.1 seconds."""
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.apply_delta(reader.server_delta())
     for number in range(30):
         write(store, Topic.SERVERS, f"i-{number + 10}", server(sequence=1))
     write(store, Topic.SERVERS, "i-1", server(sequence=2, state="leaving"))
     reader.step()
-    listener.hear(reader.news())
+    listener.apply_delta(reader.server_delta())
     listener.step()
     assert not listener.context.registry.get("i-1").usable
 
 
 def test_a_node_reads_by_itself_when_its_readers_lose_the_store(store):
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.apply_delta(reader.server_delta())
     store.fault = store_down
     reader.step()
-    assert reader.news() is None
+    assert reader.server_delta() is None
     store.fault = None
     listener.relayed_at -= 10.0
     calls = len(store.calls)
@@ -153,21 +153,21 @@
     reader, listener = told(store)
     add_servers(store, 60)
     reader.step()
-    news = reader.news()
-    assert news.first == news.next
-    assert not news.changes
+    server_delta = reader.server_delta()
+    assert server_delta.first == server_delta.next
+    assert not server_delta.changes
 
 
 def test_changes_that_did_not_fit_are_read_once(store):
     """Sixty servers start, more than a telling holds. Each node reads them once; were
     they missing from all tellings of the next seconds, each would read five times."""
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.apply_delta(reader.server_delta())
     add_servers(store, 60)
     reader.step()
     calls = len(store.calls)
     for _ in range(5):
-        listener.hear(reader.news())
+        listener.apply_delta(reader.server_delta())
         listener.step()
     assert len(store.calls) == calls + 1
     assert len(listener.context.registry.servers) == 61
@@ -178,12 +178,12 @@
     older moment. Were the tellings then to begin before the sixty, without them, a node
     would take itself to know all, and leave its callers to the few it has."""
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.apply_delta(reader.server_delta())
     add_servers(store, 60)
     reader.step()
-    reader.news()
-    reader.marks.appendleft((time.monotonic() - 2 * HISTORY_S, 1))
-    listener.hear(reader.news())
+    reader.server_delta()
+    reader.checkpoints.appendleft((time.monotonic() - 2 * CHANGE_HISTORY_S, 1))
+    listener.apply_delta(reader.server_delta())
     listener.step()
     assert len(listener.context.registry.servers) == 61
 
@@ -192,11 +192,11 @@
     """Fifteen servers are reclaimed at once. Each node is told of all of them, and need
     not read the store."""
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.apply_delta(reader.server_delta())
     add_servers(store, 15)
     reader.step()
     calls = len(store.calls)
-    listener.hear(reader.news())
+    listener.apply_delta(reader.server_delta())
     listener.step()
     assert len(store.calls) == calls
     assert len(listener.context.registry.servers) == 16
@@ -205,21 +205,21 @@
 @pytest.mark.parametrize("packed", [b"x", zlib.compress(b"x"), zlib.compress(b"")])
 def test_news_that_can_not_be_read_lead_to_an_own_read(store, packed):
     reader, listener = told(store)
-    listener.hear(ServerNews(0, 99, packed))
+    listener.apply_delta(ServerDelta(0, 99, packed))
     assert not listener.is_relayed()
-    assert listener.next == reader.next
+    assert listener.next_offset == reader.next_offset
 
 
 def test_a_reader_that_sees_a_server_leave_tells_the_others_at_once(store):
     """A server is gone 1.1 s after its notice. Told with the next round, up to 0.9 s
     later, the others would send it requests that it takes along."""
-    readers = FewReaders()
+    readers = NonReader()
     reader = ServerFollower(make_context(store=store), readers)
     write(store, Topic.SERVERS, "i-1", server(sequence=1))
     reader.step()
     write(store, Topic.SERVERS, "i-2", server(sequence=1))
     reader.step()
-    assert not hasattr(readers, "hastened")
+    assert not hasattr(readers, "broadcast_requested")
     write(store, Topic.SERVERS, "i-1", server(sequence=2, state="leaving"))
     reader.step()
-    assert readers.hastened
+    assert readers.broadcast_requested
--- a/packages/endive_gateway/tests/test_ordering.py
+++ b/packages/endive_gateway/tests/test_ordering.py
@@ -2,7 +2,12 @@
 from endive_core.leases import Lease
 from endive_core.routing import Scaling, Service
 from endive_gateway.interfaces import ServerState
-from endive_gateway.ordering import LOWER_AFTER_S, SETTLED_S, STARTED_S, Ordering
+from endive_gateway.ordering import (
+    LIST_SETTLE_S,
+    REGISTRATION_S,
+    SCALE_IN_DELAY_S,
+    Autoscaler,
+)
 from endive_gateway.peers import Peers
 from gateway_builders import make_context, make_entry, make_table
 from store_builders import RecordingCloud
@@ -19,9 +24,9 @@
         table.services["s"] = Service("s", scaling=SCALING)
         self.context = make_context(table, cloud=self.cloud)
         self.context.registry.known_once = True
-        self.ordering = Ordering(self.context, Peers(self.context))
+        self.autoscaler = Autoscaler(self.context, Peers(self.context))
         self.now = 1000.0
-        self.ordering.clock = lambda: self.now
+        self.autoscaler.clock = lambda: self.now
         self.lease = Lease(7, 1e9)
         self.numbers = iter(range(1, 1000))
 
@@ -45,14 +50,14 @@
                 )
                 self.context.registry.put(leaving)
 
-    def play(self, seconds, work=1.0):
+    def run_for(self, seconds, work=1.0):
         """Step for `seconds`; return the orders given, newest by pool."""
         before = len(self.cloud.orders)
         end = self.now + seconds
         while self.now < end:
             self.context.work.told = {"s": work}
-            self.ordering.measure(self.now)
-            self.ordering.step("n1", self.lease, self.now)
+            self.autoscaler.sample_load(self.now)
+            self.autoscaler.step("n1", self.lease, self.now)
             self.now += 0.25
         return {
             (order.zone, order.reclaimable): order.servers
@@ -69,7 +74,7 @@
     """A holder that has just started sees the first two servers of nine. Sized by
     them, the service would shrink before the first request comes."""
     fleet.add("a", 2, reclaimable=False)
-    orders = fleet.play(SETTLED_S - 0.5, work=0.0)
+    orders = fleet.run_for(LIST_SETTLE_S - 0.5, work=0.0)
     assert all(reclaimable for _, reclaimable in orders)
     assert set(orders.values()) == {2}
 
@@ -78,9 +83,9 @@
     """On-demand servers run at the start, at five times the price, until reclaimable
     ones are there. Each second before those are ordered is paid for."""
     fleet.add("a", 2, reclaimable=False)
-    assert fleet.play(0.25, work=0.0) == {(zone, True): 2 for zone in "abc"}
+    assert fleet.run_for(0.25, work=0.0) == {(zone, True): 2 for zone in "abc"}
     fleet.add("b", 2, reclaimable=False)
-    assert fleet.play(0.25, work=0.0) == {(zone, True): 4 for zone in "abc"}
+    assert fleet.run_for(0.25, work=0.0) == {(zone, True): 4 for zone in "abc"}
 
 
 def test_an_order_whose_servers_do_not_come_is_sent_again(fleet):
@@ -88,25 +93,25 @@
     a minute, callers would meet half of the servers until then."""
     for zone in "abc":
         fleet.add(zone, 2)
-    assert fleet.play(1.0, work=3.0)[("a", True)] == 4
-    wait_s = SCALING.boot_s + STARTED_S
-    assert not fleet.play(wait_s - 1.5, work=3.0)
-    assert fleet.play(1.0, work=3.0)[("a", True)] == 4
+    assert fleet.run_for(1.0, work=3.0)[("a", True)] == 4
+    wait_s = SCALING.boot_s + REGISTRATION_S
+    assert not fleet.run_for(wait_s - 1.5, work=3.0)
+    assert fleet.run_for(1.0, work=3.0)[("a", True)] == 4
     for zone in "abc":
         fleet.add(zone, 2)
-    assert not fleet.play(wait_s, work=3.0)
+    assert not fleet.run_for(wait_s, work=3.0)
 
 
 def test_nothing_is_ordered_before_any_server_is_known(fleet):
     fleet.context.registry.known_once = False
-    assert not fleet.play(2.0, work=0.0)
+    assert not fleet.run_for(2.0, work=0.0)
 
 
 def test_an_order_is_not_repeated_while_nothing_changes(fleet):
     for zone in "abc":
         fleet.add(zone, 2)
-    fleet.play(12.0)
-    assert not fleet.play(2.0)
+    fleet.run_for(12.0)
+    assert not fleet.run_for(2.0)
 
 
 def on_demand(orders):
@@ -118,13 +123,13 @@
     zones go too before it has, callers must meet some server."""
     for zone in "abc":
         fleet.add(zone, 2)
-    fleet.play(10.0)
+    fleet.run_for(10.0)
     fleet.reclaim("b")
     fleet.cloud.empty = {"a", "b", "c"}
-    assert on_demand(fleet.play(0.5)) == 1
+    assert on_demand(fleet.run_for(0.5)) == 1
     fleet.cloud.empty = set()
     fleet.add("b", 2)
-    assert on_demand(fleet.play(30.0)) == 0
+    assert on_demand(fleet.run_for(30.0)) == 0
 
 
 def test_a_holder_that_takes_over_in_a_reclaim_covers_most_of_the_load(fleet):
@@ -135,9 +140,9 @@
         fleet.add(zone, 2)
     fleet.reclaim("b")
     fleet.cloud.empty = {"a", "b", "c"}
-    fleet.ordering.traffic_since = fleet.now - 60.0
-    fleet.ordering.begin(fleet.now)
-    assert on_demand(fleet.play(0.5, work=2.5)) == 2
+    fleet.autoscaler.traffic_since = fleet.now - 60.0
+    fleet.autoscaler.begin_tenure(fleet.now)
+    assert on_demand(fleet.run_for(0.5, work=2.5)) == 2
 
 
 def test_a_pool_that_refused_is_asked_again_with_growing_pauses(fleet):
@@ -151,7 +156,7 @@
         order(holder, fence, given)
 
     fleet.cloud.order = count
-    fleet.play(30.0)
+    fleet.run_for(30.0)
     gaps = [later - earlier for earlier, later in zip(asked, asked[1:], strict=False)]
     assert 3 <= len(asked) <= 8
     assert gaps == sorted(gaps)
@@ -160,11 +165,11 @@
 def test_servers_are_given_back_only_after_a_while(fleet):
     for zone in "abc":
         fleet.add(zone, 2)
-    fleet.play(12.0, work=3.0)
-    fleet.ordering.loads["s"].samples.clear()
-    early = fleet.play(LOWER_AFTER_S - 1.0, work=0.1)
+    fleet.run_for(12.0, work=3.0)
+    fleet.autoscaler.load_meters["s"].samples.clear()
+    early = fleet.run_for(SCALE_IN_DELAY_S - 1.0, work=0.1)
     assert not any(reclaimable for _, reclaimable in early)
-    late = fleet.play(LOWER_AFTER_S, work=0.1)
+    late = fleet.run_for(SCALE_IN_DELAY_S, work=0.1)
     assert any(reclaimable for _, reclaimable in late)
 
 
@@ -172,15 +177,15 @@
     """A holder's lease ends while its order is on the way, and the successor has given
     another one. The platform would see the older holder last."""
     fleet.lease.until = fleet.now + 0.1
-    fleet.play(0.2)
+    fleet.run_for(0.2)
     assert not fleet.cloud.orders
 
 
 def test_a_cloud_that_is_down_is_asked_again(fleet):
     fleet.cloud.down = True
-    fleet.play(3.0)
+    fleet.run_for(3.0)
     fleet.cloud.down = False
-    assert fleet.play(2.0)
+    assert fleet.run_for(2.0)
 
 
 def test_a_holder_that_just_started_does_not_shrink_the_service(fleet):
@@ -188,8 +193,8 @@
     it gave servers back, the returning callers would meet half of them."""
     for zone in "abc":
         fleet.add(zone, 3)
-    fleet.ordering.begin(fleet.now)
-    orders = fleet.play(6.0, work=0.3)
+    fleet.autoscaler.begin_tenure(fleet.now)
+    orders = fleet.run_for(6.0, work=0.3)
     assert all(count >= 3 for (_, spot), count in orders.items() if spot)
 
 
@@ -203,10 +208,10 @@
         fleet.now += 0.5
 
     fleet.cloud.order = slow
-    fleet.play(SETTLED_S, work=1.0)
+    fleet.run_for(LIST_SETTLE_S, work=1.0)
     del given[:]
-    fleet.ordering.taken.clear()
+    fleet.autoscaler.accepted.clear()
     fleet.lease.until = fleet.now + 1.6
-    fleet.ordering.step("n1", fleet.lease, fleet.now)
+    fleet.autoscaler.step("n1", fleet.lease, fleet.now)
     assert 1 <= len(given) <= 3
     assert all(at + 0.4 <= fleet.lease.until for at in given)
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -6,16 +6,16 @@
 import pytest
 from endive_core.crashes import Crash
 from endive_gateway import peers as peers_module
-from endive_gateway.documents import unpacked
+from endive_gateway.documents import decompress
 from endive_gateway.exceptions import StoreUncertainError
 from endive_gateway.interfaces import Topic
 from endive_gateway.peers import Peers
-from endive_gateway.tellings import DECODER, Telling
+from endive_gateway.tellings import DECODER, StateMessage
 from gateway_builders import make_context, make_table
 from store_builders import MemoryStore, store_down
 
 
-def telling(**options):
+def state_message(**options):
     values = {
         "node": "b",
         "incarnation": 1,
@@ -30,7 +30,7 @@
         "fence": 0,
         "reported": 4,
     }
-    return Telling(**(values | options))
+    return StateMessage(**(values | options))
 
 
 @pytest.fixture
@@ -39,19 +39,19 @@
 
 
 def test_a_telling_comes_back_from_its_bytes():
-    assert DECODER.decode(msgspec.msgpack.encode(telling())) == telling()
+    assert DECODER.decode(msgspec.msgpack.encode(state_message())) == state_message()
 
 
 def test_a_telling_fits_one_datagram():
     """A datagram over one frame is lost whole with any of its pieces."""
     organisations = {f"organisation-{n}": 123456.789 for n in range(8)}
     counts = dict.fromkeys(organisations, 1000)
-    told = telling(spent=organisations, windows=dict.fromkeys((1, 2, 3), counts))
+    told = state_message(spent=organisations, windows=dict.fromkeys((1, 2, 3), counts))
     assert len(msgspec.msgpack.encode(told)) < 1400
 
 
 def test_what_a_peer_tells_is_taken_over(peers):
-    peers.hear(telling(), "127.0.0.2")
+    peers.receive(state_message(), "127.0.0.2")
     context = peers.context
     assert context.meter.total(7) == {"o": 3}
     assert context.reported == 4
@@ -60,16 +60,16 @@
 
 
 def test_a_telling_that_was_overtaken_is_dropped(peers):
-    peers.hear(telling(sequence=5, fence=3), "127.0.0.2")
-    peers.hear(telling(sequence=4, fence=0), "127.0.0.2")
+    peers.receive(state_message(sequence=5, fence=3), "127.0.0.2")
+    peers.receive(state_message(sequence=4, fence=0), "127.0.0.2")
     assert peers.known["127.0.0.2"].fence == 3
-    peers.hear(telling(incarnation=2, sequence=1, fence=0), "127.0.0.2")
+    peers.receive(state_message(incarnation=2, sequence=1, fence=0), "127.0.0.2")
     assert peers.known["127.0.0.2"].fence == 0
 
 
 def test_a_peer_that_stopped_is_forgotten_at_once(peers):
-    peers.hear(telling(), "127.0.0.2")
-    peers.hear(telling(sequence=2, gone=True), "127.0.0.2")
+    peers.receive(state_message(), "127.0.0.2")
+    peers.receive(state_message(sequence=2, gone=True), "127.0.0.2")
     assert not peers.known
     assert peers.context.limits.part(time.monotonic() + 5) == 1.0
 
@@ -77,16 +77,16 @@
 def test_nodes_that_were_listed_are_believed_to_be_there_before_they_are_heard(peers):
     """Nodes start together, and one hears a third of the others at first. It must
     choose from the same nodes as they who adds up an organisation's spending."""
-    peers._add("127.0.0.2")
-    peers.hear(telling(), "127.0.0.3")
-    assert peers.believed() == ["127.0.0.2", "127.0.0.3"]
-    peers.known["127.0.0.2"].known_at -= peers.heard_s
-    assert peers.believed() == ["127.0.0.3"]
+    peers._add_peer("127.0.0.2")
+    peers.receive(state_message(), "127.0.0.3")
+    assert peers.presumed_live() == ["127.0.0.2", "127.0.0.3"]
+    peers.known["127.0.0.2"].added_at -= peers.live_timeout_s
+    assert peers.presumed_live() == ["127.0.0.3"]
 
 
 def test_crashes_are_told_on(peers):
     peers.context.placer.crashes.add(Crash("f", "i-1@3", time.monotonic()))
-    assert peers._telling(False).crashes[0][:2] == ("f", "i-1@3")
+    assert peers._state_message(False).crashes[0][:2] == ("f", "i-1@3")
 
 
 def test_failures_of_servers_are_told_to_all(peers):
@@ -94,8 +94,8 @@
     and would go on; only all together can tell."""
     placer = peers.context.placer
     placer.suspicions.failed("i-1", time.monotonic())
-    assert peers._telling(gone=False).failing == {"i-1": 1}
-    peers.hear(telling(failing={"i-1": 9}), "127.0.0.2")
+    assert peers._state_message(gone=False).server_failures == {"i-1": 1}
+    peers.receive(state_message(server_failures={"i-1": 9}), "127.0.0.2")
     servers = [f"i-{number}" for number in range(8)]
     assert placer.suspicions.suspects(servers, time.monotonic()) == {"i-1"}
 
@@ -104,12 +104,12 @@
     store = MemoryStore()
     one, two = (Peers(make_context(make_table(), store=store, node=n)) for n in "ab")
     for peers, address in ((one, "127.0.0.2"), (two, "127.0.0.3")):
-        peers.address = peers.list.address = address
-    one.tell = two.tell = lambda *_arguments, **_options: None
-    listing = [gevent.spawn(peers.list.follow) for peers in (one, two)]
+        peers.address = peers.node_list.address = address
+    one.broadcast = two.broadcast = lambda *_arguments, **_options: None
+    listing = [gevent.spawn(peers.node_list.follow) for peers in (one, two)]
     gevent.sleep(0.05)
     gevent.killall(listing)
-    one.list.read()
+    one.node_list.read()
     assert set(one.known) == {"127.0.0.3"}
     assert set(two.known) == {"127.0.0.2"}
     assert len(store.topics[Topic.NODES]) == 2
@@ -127,7 +127,7 @@
     asking.address = "127.0.0.4"
     serving.start()
     try:
-        asking.hear(telling(version=9), "127.0.0.1")
+        asking.receive(state_message(version=9), "127.0.0.1")
         gevent.sleep(0.7)
     finally:
         serving.stop()
@@ -137,12 +137,12 @@
 def test_many_nodes_that_tell_less_often_are_not_silent(peers):
     """87 nodes tell each other every 0.9 s. Taken for silent between two tellings, they
     would leave parts of every limit to nodes that are there, and refuse callers."""
-    peers._expect_tellings_each(0.87)
-    peers.hear(telling(), "127.0.0.2")
+    peers._set_timeouts(0.87)
+    peers.receive(state_message(), "127.0.0.2")
     now = time.monotonic()
     assert peers.context.limits.part(now + 2.0) == 1.0
     assert peers.context.limits.part(now + 3.0) == 0.5
-    assert peers.heard_s > 2.5
+    assert peers.live_timeout_s > 2.5
 
 
 @pytest.mark.parametrize(
@@ -150,25 +150,25 @@
 )
 def test_a_document_that_is_garbled_or_too_long_is_refused(data):
     with pytest.raises(OSError):
-        unpacked(data)
+        decompress(data)
 
 
 def test_many_nodes_ask_for_a_configuration_at_once(peers):
     """Among 87 nodes most hear of a configuration from a few. One that waited for its
     next round of tellings, and the one after, had it in force three seconds late."""
     for number in range(30):
-        peers._add(f"127.0.1.{number}")
-    assert not peers.reads_alone()
+        peers._add_peer(f"127.0.1.{number}")
+    assert not peers.every_node_reads()
     asked = []
 
     def pull_from(_holder, _port, _timeout_s):
         asked.append(time.monotonic())
         peers.context.configure(make_table(version=9), b"9", "test")
 
-    peers.documents._pull_from = pull_from
+    peers.configuration_exchange._pull_from = pull_from
     started = time.monotonic()
-    peers.hear(telling(version=9), "127.0.0.2")
-    peers.hear(telling(version=9, sequence=2), "127.0.0.2")
+    peers.receive(state_message(version=9), "127.0.0.2")
+    peers.receive(state_message(version=9, sequence=2), "127.0.0.2")
     gevent.sleep(0.2)
     assert len(asked) == 1
     assert asked[0] - started < 0.15
@@ -178,8 +178,8 @@
     """Return the peers of a node that has just started and knows `number` others."""
     starting = Peers(make_context())
     for other in range(number):
-        starting._add(f"127.0.1.{other}")
-    starting.list.is_read.set()
+        starting._add_peer(f"127.0.1.{other}")
+    starting.node_list.is_read.set()
     return starting
 
 
@@ -193,8 +193,8 @@
         pulled.append(holder.node)
         starting.context.configure(make_table(version=9), b"9", "test")
 
-    starting.documents._pull_from = pull_from
-    starting.hear(telling(version=9), "127.0.0.2")
+    starting.configuration_exchange._pull_from = pull_from
+    starting.receive(state_message(version=9), "127.0.0.2")
     started = time.monotonic()
     assert starting.await_first_configuration()
     assert pulled == ["b"]
@@ -213,8 +213,8 @@
     """Few nodes start, and the store gives the list of nodes in milliseconds. Waiting
     out the longest time for it, each turns its callers away for a tenth of a second."""
     peers = Peers(make_context(make_table(), store=MemoryStore()))
-    peers.tell = lambda **_options: None
-    listing = gevent.spawn(peers.list.follow)
+    peers.broadcast = lambda **_options: None
+    listing = gevent.spawn(peers.node_list.follow)
     started = time.monotonic()
     assert not peers.await_first_configuration()
     listing.kill()
@@ -225,9 +225,9 @@
     """A node that starts would hear of one only with the next round of tellings, up to
     0.9 s later, and turn its callers away until then."""
     told = []
-    peers.tell = told.extend
-    peers.hear(telling(version=-1), "127.0.0.2")
-    peers.hear(telling(version=1, node="c"), "127.0.0.3")
+    peers.broadcast = told.extend
+    peers.receive(state_message(version=-1), "127.0.0.2")
+    peers.receive(state_message(version=1, node="c"), "127.0.0.3")
     assert [peer.address for peer in told] == ["127.0.0.2"]
 
 
@@ -235,13 +235,13 @@
     """Eighty nodes are told ten at a time over 0.8 s. A server that leaves within a
     second can't wait for that."""
     for number in range(80):
-        peers._add(f"127.0.1.{number}")
+        peers._add_peer(f"127.0.1.{number}")
     told = []
-    peers.tell = lambda some: told.extend(peer.address for peer in some)
-    loop = gevent.spawn(peers._tell_all)
+    peers.broadcast = lambda some: told.extend(peer.address for peer in some)
+    loop = gevent.spawn(peers._broadcast_loop)
     gevent.sleep(0.02)
     told.clear()
-    peers.hasten()
+    peers.broadcast_soon()
     gevent.sleep(0.35)
     loop.kill()
     assert len(set(told)) == 80
@@ -254,16 +254,16 @@
     store = MemoryStore()
     other, node = (Peers(make_context(make_table(), store=store, node=n)) for n in "ab")
     for peers, address in ((other, "127.0.0.2"), (node, "127.0.0.3")):
-        peers.address = peers.list.address = address
-    other.list.list_itself()
+        peers.address = peers.node_list.address = address
+    other.node_list.register()
 
     def lose_writes(name):
         if name == "put":
             raise StoreUncertainError("the answer was lost")
 
     store.fault = lose_writes
-    node.tell = lambda **_options: None
-    listing = gevent.spawn(node.list.follow)
+    node.broadcast = lambda **_options: None
+    listing = gevent.spawn(node.node_list.follow)
     gevent.sleep(0.05)
     listing.kill()
     assert set(node.known) == {"127.0.0.2"}
@@ -288,7 +288,7 @@
 
     monkeypatch.setattr(peers_module.gevent, "sleep", sleep)
     with pytest.raises(gevent.GreenletExit):
-        turned_away.list.follow()
+        turned_away.node_list.follow()
     return gaps
 
 
@@ -296,7 +296,7 @@
     turned_away, monkeypatch
 ):
     """A third of 87 nodes are turned away for seconds, and each call is paid for."""
-    turned_away.list.is_read.set()
+    turned_away.node_list.is_read.set()
     gaps = pauses_of(turned_away, monkeypatch)
     assert 0.2 < gaps[0] < 0.6
     assert all(1.5 < gap < 4.5 for gap in gaps[5:])
--- a/packages/endive_gateway/tests/test_servers.py
+++ b/packages/endive_gateway/tests/test_servers.py
@@ -1,5 +1,5 @@
 from endive_gateway.interfaces import ServerState
-from endive_gateway.servers import RETURN_GRACE_S, ServerRegistry
+from endive_gateway.servers import LAPSE_GRACE_S, ServerRegistry
 from gateway_builders import make_entry
 
 
@@ -42,9 +42,9 @@
     registry.put(make_entry(sequence=4))
     assert not registry.drop("i-1", 10.0, after_outage=True)
     assert registry.get("i-1").usable
-    assert not registry.sweep(10.0 + RETURN_GRACE_S - 0.1)
+    assert not registry.sweep(10.0 + LAPSE_GRACE_S - 0.1)
     registry.put(make_entry(sequence=5))
-    assert not registry.sweep(10.0 + RETURN_GRACE_S + 0.1)
+    assert not registry.sweep(10.0 + LAPSE_GRACE_S + 0.1)
     assert registry.get("i-1").usable
 
 
@@ -53,7 +53,7 @@
     registry.put(make_entry())
     registry.drop("i-1", 10.0, after_outage=True)
     assert registry.has_lapsed
-    assert registry.sweep(10.0 + RETURN_GRACE_S)
+    assert registry.sweep(10.0 + LAPSE_GRACE_S)
     assert registry.get("i-1") is None
 
 
