--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -60,7 +60,7 @@
         self.context = context
         self.peers = peers
         self.autoscaler = autoscaler
-        self.node = context.settings.place.node
+        self.node_name = context.settings.place.node
         self.log = DutyLog(lease_s=LEASE_S, margin_s=LEASE_MARGIN_S)
         self.lease = Lease()
         self.eligible = True
@@ -142,7 +142,7 @@
         if self.peers.duty_log_moved_at is not None:
             self.log.hear_end(self.peers.duty_log_end, self.peers.duty_log_moved_at)
         self._read()
-        if not self.log.may_claim(self.node, boot_time()):
+        if not self.log.may_claim(self.node_name, boot_time()):
             return
         sent_at = boot_time()
         offset = self._append(DutyKind.CLAIM, {})
@@ -159,7 +159,7 @@
         if "usage" in self.context.settings.duties:
             self._report_usage()
         if "scale" in self.context.settings.duties:
-            self.autoscaler.step(self.node, self.lease, boot_time())
+            self.autoscaler.step(self.node_name, self.lease, boot_time())
 
     def _renew(self) -> None:
         sent_at = boot_time()
@@ -213,7 +213,7 @@
         self.context.reported = max(self.context.reported, self.log.reported)
         return DutyRecord(
             kind,
-            self.node,
+            self.node_name,
             self.context.incarnation,
             0 if kind is DutyKind.CLAIM else self.lease.fence,
             self.context.reported,
@@ -279,7 +279,9 @@
         if not self._is_holder():
             return
         try:
-            self.context.cloud.report_usage(self.node, self.lease.fence, window, counts)
+            self.context.cloud.report_usage(
+                self.node_name, self.lease.fence, window, counts
+            )
         except CloudError as error:
             log_event("usage_not_reported", window=window, error=error)
             self.next_try_at = time.monotonic() + RETRY_S
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -85,7 +85,7 @@
     def __init__(self, context: Context) -> None:
         self.context = context
         place = context.settings.place
-        self.node = place.node
+        self.node_name = place.node
         self.address = place.address
         self.port = place.peer_port
         self.known: dict[str, Peer] = {}
@@ -159,7 +159,7 @@
 
     def older_among(self, peers: list[Peer]) -> int:
         """Return how many of `peers` have run for longer than this node."""
-        own = (self.context.incarnation, self.node)
+        own = (self.context.incarnation, self.node_name)
         return sum((peer.incarnation, peer.node) < own for peer in peers)
 
     def every_node_reads(self) -> bool:
@@ -255,7 +255,7 @@
         now = time.monotonic()
         recent = context.placer.crashes.recent(now, limit=MAX_CRASHES)
         return StateMessage(
-            node=self.node,
+            node=self.node_name,
             incarnation=context.incarnation,
             sequence=self.sequence,
             wall_ms=int(time.time() * 1000),
