--- a/packages/endive_gateway/src/endive_gateway/clocks.py
+++ b/packages/endive_gateway/src/endive_gateway/clocks.py
@@ -1,11 +1,11 @@
-"""The clock that leases are counted by."""
+"""The clock on which leases and the age of the store's answers are measured."""
 
 import time
 
 
 def boot_time() -> float:
-    """Return seconds that also pass while the machine is suspended.
+    """Return the time in seconds on a clock that advances during suspension.
 
-    A lease counted by a clock that stands still then would outlast its end.
+    A lease measured on a clock that stops then would still look valid after its end.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/endive_gateway/src/endive_gateway/configuration.py
+++ b/packages/endive_gateway/src/endive_gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in the store, followed."""
+"""Follows the configuration in the store and puts each new version in force."""
 
 import gevent
 from endive_core.freshness import Freshness
@@ -12,15 +12,16 @@
 from endive_gateway.loops import keep_running
 
 LONG_POLL_WAIT_S = 20.0
-"""How long a read of the configuration waits for a change, seconds: under the store's
-longest. Whether one was missed meanwhile is found out by short reads."""
+"""Time for which a long poll of the configuration waits for a change, seconds; below
+the longest wait that the store allows. Reads without a wait detect a missed change."""
 
 MIN_READ_INTERVAL_S = 0.15
-"""Least time between two reads of the configuration, seconds: a storm of changes is
-read a few at a time, well within the two seconds allowed."""
+"""Least time between two reads of the configuration, seconds. During a burst of changes
+each read returns several of them, well within the two seconds that a change may take to
+be in force."""
 
 MIN_CHECK_INTERVAL_S = 0.05
-"""Least time between two looks whether a newer configuration may be there, seconds."""
+"""Least time between two checks whether a confirmation is due, seconds."""
 
 CONFIGURATION_KEY = "config"
 
@@ -28,19 +29,19 @@
 class ConfigurationFollower(Follower):
     """Puts each new configuration in force as soon as the store has it.
 
-    A read that waits brings a change within milliseconds. Its silence proves nothing:
-    the store may never answer it. So the node also keeps when its configuration was
-    last known to be the newest, by own reads without a wait and by what others tell,
-    and asks again before a change could be late.
+    A long poll returns a change within milliseconds. A long poll that returns nothing
+    proves nothing, since the store may never answer it. So the node also records when
+    its configuration was last confirmed as the newest, either by its own reads without
+    a wait or by its peers' messages, and reads again before a change could be late.
 
     Attributes
     ----------
     freshness : Freshness
-        On the boot clock.
-    known_version : int
-        Newest version in force when the waiting read was last known to be sound.
-    waiting : Greenlet or None
-        The loop of reads that wait.
+        When the version in force was last confirmed as the newest, on the boot clock.
+    long_poll_version : int
+        Newest version in force when the long poll was last known to work.
+    long_poll : Greenlet or None
+        The loop of long polls.
     """
 
     topic = Topic.CONFIGURATION
@@ -68,14 +69,14 @@
     def has_snapshot(self) -> bool:
         """See :meth:`Follower.has_snapshot`.
 
-        A configuration is whole, so one that another node gave will do.
+        A configuration is always complete, so one that a peer sent is enough.
         """
         return self.context.table is not None
 
     def is_relayed(self) -> bool:
         """See :meth:`Follower.is_relayed`.
 
-        Few nodes read it all the same: a change then needs no second step.
+        In a small fleet every node reads the store, so a change needs no second hop.
         """
         if self.readers is None or self.readers.every_node_reads():
             return False
@@ -108,15 +109,15 @@
         super()._note_answer(read_started_at)
         self.freshness.prove(read_started_at)
 
-    # Checking
+    # Confirming that the version in force is the newest
 
     def check(self) -> float:
-        """Ask for a newer configuration if one may be overdue.
+        """Read the store without a wait if the last confirmation is too old.
 
         Returns
         -------
         float
-            Seconds until the next look.
+            Seconds until the next check.
         """
         if not self.has_snapshot:
             return MIN_CHECK_INTERVAL_S
@@ -140,7 +141,11 @@
         return 0 if self.readers is None else self.readers.rank()
 
     def _retry_delay_s(self, read_started_at: float) -> float:
-        """Return the time to the next check after one that got no answer."""
+        """Return the seconds until the next check after one that got no answer.
+
+        The delay grows with the number of nodes, so that they don't all read at once
+        when the store is available again.
+        """
         nodes = 1 if self.readers is None else self.readers.live_node_count()
         turns_s = self.freshness.turns_s(nodes) * self.context.random.uniform(0.7, 1.3)
         pause_s = max(self._next_backoff_s(), turns_s)
@@ -157,7 +162,7 @@
             self._renew_long_poll()
 
     def _check_long_poll(self) -> None:
-        """Begin the waiting read anew if another node brought what it should have."""
+        """Restart the long poll if a version arrived that it should have returned."""
         if self.context.version > self.long_poll_version:
             self.long_poll_version = self.context.version
             self._renew_long_poll()
@@ -168,11 +173,23 @@
             self._restart_long_poll()
 
     def observe_peer_proof(self, version: int, age_s: float) -> None:
-        """Take that another node's `version` was the newest `age_s` seconds ago."""
+        """Record that `version` was the newest `age_s` seconds ago, as a peer reports.
+
+        Parameters
+        ----------
+        version : int
+            The version in force at the peer. A version newer than this node's confirms
+            nothing here.
+        age_s : float
+            Negative if the peer has no confirmation.
+        """
         if age_s >= 0 and version <= self.context.version:
             self.freshness.prove(boot_time() - age_s)
 
     def proof_age_s(self) -> float:
-        """Return the seconds since this version was the newest; -1 if unknown."""
+        """Return the seconds since the version was confirmed as the newest.
+
+        The value is -1 if it never was.
+        """
         age_s = self.freshness.age_s(boot_time())
         return -1.0 if age_s is None else age_s
--- a/packages/endive_gateway/src/endive_gateway/datagrams.py
+++ b/packages/endive_gateway/src/endive_gateway/datagrams.py
@@ -1,4 +1,4 @@
-"""One UDP port over which gateways tell each other something."""
+"""A UDP port over which gateways exchange msgpack messages of one type."""
 
 import socket
 from collections.abc import Callable, Iterable
@@ -12,22 +12,22 @@
 
 MAX_DATAGRAM_BYTES = 65_535
 RECEIVE_RETRY_S = 0.2
+"""Pause after a failed receive call, seconds."""
 
 
 class DatagramPort:
-    """Sends messages, and hands on those that come.
+    """Sends messages, and passes received ones to a handler.
 
-    Nothing sent here has to arrive, and whatever can't be read is dropped with a line
-    in the log.
+    Delivery is not guaranteed. A message that can't be decoded is logged and dropped.
 
     Parameters
     ----------
     subject : str
-        What is told, for the log.
+        Name of the exchange, for the log.
     decoder : msgspec.msgpack.Decoder
-        Decodes what comes.
-    take : callable
-        Gets each message and the IP number that it came from.
+        Decodes received messages.
+    handle : callable
+        Called with each message and the IP address of its sender.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self.receiver: gevent.Greenlet | None = None
 
     def start(self, address: str, port: int) -> None:
-        """Begin to receive at ``address:port``; all nodes use the same port."""
+        """Start receiving at ``address:port``; all nodes use the same port."""
         self.port = port
         udp = listen_udp(address, port)
         self.socket = gsocket.socket(
@@ -59,7 +59,10 @@
         self.socket.close()
 
     def send(self, message: Any, addresses: Iterable[str]) -> None:
-        """Send a message to the nodes at some IP numbers."""
+        """Send a message to the nodes at `addresses`, which are IP addresses.
+
+        A send that fails is logged.
+        """
         data = self.encoder.encode(message)
         for address in addresses:
             try:
--- a/packages/endive_gateway/src/endive_gateway/documents.py
+++ b/packages/endive_gateway/src/endive_gateway/documents.py
@@ -1,8 +1,9 @@
-"""Configurations that nodes take from each other, compressed, the length first.
+"""Transfer of the configuration between gateways, over TCP.
 
-With a thousand routes one has 400 KB, a sixteenth of that compressed: 20 ms of a link
-of 10 Mbit/s instead of 320. All nodes must have it in force within two seconds, and
-after a power loss none serves before it has it.
+The message is the zlib-compressed configuration after its length. A configuration of a
+thousand routes has 400 KB, a sixteenth of that compressed: 20 ms on a link of 10 Mbit/s
+instead of 320 ms. All nodes must have it in force within two seconds, and after a power
+loss no node serves requests before it has one.
 """
 
 import struct
@@ -21,49 +22,51 @@
 from endive_gateway.exceptions import UndecodableError
 
 MEAN_PULL_DELAY_S = 0.25
-"""Mean time for which another node may have a newer configuration before it is asked
-for, seconds: where each node reads the store, that mostly tells both in this time."""
+"""Mean delay before a newer configuration is pulled from a peer, seconds, where each
+node reads the store itself: in most cases the store delivers it within this time."""
 
 PULL_SPREAD_S = 0.1
-"""Time over which many nodes spread their asking for one configuration, seconds."""
+"""Time over which many nodes spread their pulls of one configuration, seconds."""
 
 PULL_TIMEOUT_S = 0.25
 MAX_PULL_TIMEOUT_S = 1.0
-"""Longest first try to take a configuration, and longest try and time to send one,
-seconds. Two of 25 KB at once take 0.08 s of the slowest link, 5 Mbit/s; a node that is
-itself starting takes far longer, and another one is asked sooner. The time grows for
-configurations that are larger."""
+"""Time-out of the first attempt to pull a configuration, and the longest time-out of an
+attempt or of sending one, seconds. Two transfers of 25 KB at once take 0.08 s on the
+slowest link, 5 Mbit/s. A node that is itself starting takes far longer, so a short
+time-out leads to another node sooner. It grows with each attempt, for larger
+configurations."""
 
 PULL_RETRY_S = 0.03
-"""Mean time before another node is asked where one was busy, seconds: what it
-takes one to serve another over a link of 10 Mbit/s."""
+"""Mean time between two attempts, seconds: about what one transfer takes on a link of
+10 Mbit/s."""
 
 PULL_DEADLINE_S = 2.0
-"""Time after which asking ends, seconds. Who is still behind asks again when it next
-hears of a newer configuration, or has it from the store."""
+"""Time after which a pull is abandoned, seconds. A node that is still behind starts
+another one at the next state message with a newer version, or reads the store."""
 
 MAX_CONCURRENT_SENDS = 2
-"""Nodes that one node serves at the same time. The first to have a configuration is
-told of to all others at once: forty of them asked one node with a link of 10 Mbit/s
-after a power loss, 16 waited a second there in vain and served nobody meanwhile."""
+"""Nodes to which one node sends the configuration at the same time. All nodes hear at
+once of the first node that has a configuration. Without a limit, 16 of 40 nodes that
+pulled from one node with a link of 10 Mbit/s after a power loss timed out after a
+second, and served no requests meanwhile."""
 
 POLL_INTERVAL_S = 0.01
-"""How often a node that starts looks whether it has the configuration, seconds."""
+"""Time between two checks whether a starting node has a configuration, seconds."""
 
 SOURCE_WAIT_S = 0.08
-"""Time that a node that starts waits to hear of one that has the configuration,
-seconds: a few round trips of 7 ms, and the other's scheduling."""
+"""Time for which a starting node waits to hear of a peer that has a configuration,
+seconds: a few round trips of 7 ms, and the peer's scheduling delay."""
 
 FIRST_PULL_LIMIT_S = 0.6
-"""Time after which a node that starts reads the store although it is still taking the
-configuration from another one, seconds: the longest of one try and some more."""
+"""Time after which a starting node reads the store although it is still pulling the
+configuration from a peer, seconds: time for one attempt and part of another."""
 
 MAX_DOCUMENT_BYTES = 16_777_216
 LENGTH_PREFIX = struct.Struct(">I")
 
 
 class Source(Protocol):
-    """Another node, as far as this exchange looks at it."""
+    """A peer from which the configuration can be pulled."""
 
     address: str
     node: str
@@ -71,7 +74,7 @@
 
 
 class ConfigurationExchange:
-    """Serves this node's configuration to others, and takes newer ones from them."""
+    """Serves this node's configuration to peers, and pulls newer ones from them."""
 
     def __init__(self, context: Context, sources: Callable[[], list[Source]]) -> None:
         self.context = context
@@ -82,7 +85,7 @@
         self.compressed_version = -1
 
     def start(self, address: str, port: int) -> None:
-        """Start serving."""
+        """Start serving the configuration at ``address:port``."""
         self.listener = StreamServer(listen_tcp(address, port), self._serve)
         self.listener.start()
 
@@ -91,7 +94,7 @@
         self.listener.stop(0)
 
     def _serve(self, sock, _address) -> None:
-        """Send the configuration in force; a busy node only closes the connection."""
+        """Send the configuration in force, or close the connection if at the limit."""
         if self.active_sends >= MAX_CONCURRENT_SENDS:
             return
         self.active_sends += 1
@@ -103,40 +106,40 @@
             self.active_sends -= 1
 
     def _compressed_document(self) -> bytes:
-        """Return the document in force, compressed once for all who ask."""
+        """Return the configuration in force, compressed once for each version."""
         if self.compressed_version != self.context.version:
             self.compressed = zlib.compress(self.context.document)
             self.compressed_version = self.context.version
         return self.compressed
 
     def pull(self, port: int, *, reads_store: bool) -> None:
-        """Begin to take the configuration of a node that has a newer one.
+        """Start pulling the configuration from a peer that has a newer one.
 
-        The store may turn this node away and serve the others and the operators; keys
-        that were taken away meanwhile must end here as well. Among many nodes most get
-        every configuration this way.
+        The store may reject this node's reads while it serves the other nodes and the
+        operators; API keys revoked meanwhile must become invalid here as well. In a
+        large fleet most nodes get every configuration this way.
 
         Parameters
         ----------
         port : int
-            Where the others serve.
-        alone : bool
-            Whether this node reads each configuration from the store as well.
+            TCP port at which peers serve the configuration.
+        reads_store : bool
+            Whether this node also reads each configuration from the store.
         """
         if self.pulling:
             return
         self.pulling = True
         spread_s = 2 * MEAN_PULL_DELAY_S if reads_store else PULL_SPREAD_S
         if self.context.version < 0:
-            spread_s = 0.0  # no caller is served until it is here
+            spread_s = 0.0  # no request is served before the first configuration
         gevent.spawn(self._pull, port, spread_s)
 
     def await_first(self) -> bool:
-        """Wait for another node's configuration; return whether it came.
+        """Wait for a peer's configuration; return whether one arrived.
 
-        With a thousand routes, the store's copy takes 0.3 s of a link of 10 Mbit/s,
-        another node's, which is compressed, 0.02 s. After a power loss, when all nodes
-        start, callers are turned away until it is here.
+        With a thousand routes, the uncompressed copy in the store takes 0.3 s on a link
+        of 10 Mbit/s, the compressed copy of a peer 0.02 s. After a power loss, when all
+        nodes start, requests are refused until it has arrived.
         """
         started = time.monotonic()
         while self.context.version < 0:
@@ -160,7 +163,7 @@
             self.pulling = False
 
     def _sources_ahead(self) -> list[Source]:
-        """Return the nodes that told of a newer configuration than this one's."""
+        """Return the peers that reported a newer configuration than this node's."""
         version = self.context.version
         return [source for source in self.sources() if source.version > version]
 
@@ -175,27 +178,44 @@
 
 
 def receive_document(address: str, port: int) -> bytes:
-    """Return the configuration that a node serves; raises OSError."""
+    """Return the configuration that the node at ``address:port`` serves.
+
+    Raises
+    ------
+    OSError
+        If the connection fails, or the data is too large, incomplete or corrupt.
+    """
     sock = gsocket.create_connection((address, port))
     try:
         data = _receive(sock, LENGTH_PREFIX.size)
         (length,) = LENGTH_PREFIX.unpack(data)
         if length > MAX_DOCUMENT_BYTES:
-            raise OSError(f"a document of {length} bytes")
+            raise OSError(
+                f"compressed configuration too large: {length} bytes,"
+                f" limit {MAX_DOCUMENT_BYTES}"
+            )
         return decompress(_receive(sock, length))
     finally:
         sock.close()
 
 
 def decompress(compressed: bytes) -> bytes:
-    """Return what was compressed; raises OSError for anything else."""
+    """Return the decompressed configuration.
+
+    Raises
+    ------
+    OSError
+        If the data is corrupt, incomplete, or larger than ``MAX_DOCUMENT_BYTES``.
+    """
     try:
         decompressor = zlib.decompressobj()
         document = decompressor.decompress(compressed, MAX_DOCUMENT_BYTES)
     except zlib.error as error:
-        raise OSError(f"not compressed: {error}") from None
+        raise OSError(f"invalid compressed configuration: {error}") from None
     if not decompressor.eof:
-        raise OSError("the document is cut off or too long")
+        raise OSError(
+            f"configuration incomplete or larger than {MAX_DOCUMENT_BYTES} bytes"
+        )
     return document
 
 
@@ -204,7 +224,7 @@
     while left:
         piece = sock.recv(min(left, 65_536))
         if not piece:
-            raise OSError("the document ends early")
+            raise OSError(f"connection closed after {length - left} of {length} bytes")
         pieces.append(piece)
         left -= len(piece)
     return b"".join(pieces)
