--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -1,4 +1,8 @@
-"""What one node at a time does for all: usage reports and orders of servers."""
+"""The duties that one node at a time performs for all: usage reports and autoscaling.
+
+The holder is elected through the duties log in the store. A claim is a record appended
+at the known end of the log, and the holder extends its lease by further records.
+"""
 
 import time
 
@@ -21,39 +25,47 @@
 from endive_gateway.peers import Peers
 
 LEASE_S = 2.4
-"""Time after its last record for which a holder may act, seconds. Orders of servers
-wait for a successor that long when a holder dies; shorter, and each renewal's call
-weighs more than what a dead holder delays."""
+"""Time after its last record for which a holder may act, seconds. When a holder dies,
+no servers are ordered for that long. A shorter lease would cost more renewal calls than
+the shorter delay is worth."""
 
 LEASE_MARGIN_S = 0.5
-"""Part of the lease that the holder leaves unused, seconds: a call takes up to its
-time-out to arrive, and is not begun when less than that is left."""
+"""Part of the lease that the holder leaves unused, seconds. A call may take up to its
+time-out to arrive, and none is started when less than that is left."""
 
 RENEW_BEFORE_END_S = 1.1
-"""Time left at which the holder renews, seconds: two tries fit in it."""
+"""Remaining lease at which the holder renews, seconds: enough for two attempts."""
 
 STEP_S = 0.25
-"""How often the holder looks whether there is something to do, seconds."""
+"""Time between two steps of a holder or candidate, seconds."""
 
 RANK_DELAY_S = 0.4
-"""Time by which each further candidate waits longer, seconds: one of them claims, and
-the others need not ask the store at all."""
+"""Additional wait of each further candidate, seconds. The first one claims, and the
+others don't call the store at all."""
 
 REPORT_DELAY_S = 1.3
-"""Time after a window's end at which it is reported, seconds: all nodes have told
-their counts several times by then, and plain requests that began in it have ended."""
+"""Delay between the end of a usage window and its report, seconds. By then all nodes
+have sent their counts several times, and short requests that began in the window have
+ended."""
 
 RETRY_S = 0.5
-"""Time between two tries of a call that failed, seconds."""
+"""Time before a failed call is retried, seconds."""
 
 
 class Duties:
-    """The duties, as a node holds them or waits to take over.
+    """The duties at one node, which holds them or is a candidate.
 
     Attributes
     ----------
-    wanted : bool
-        Whether this node may hold them; a node that stops may not.
+    eligible : bool
+        Whether this node may hold the duties; False while it stops.
+    next_offset : int
+        Offset from which the duties log is read next.
+    no_holder_since : float or None
+        Since when no live peer reports that it holds the duties, on the monotonic
+        clock.
+    sent_windows : set of int
+        Usage windows that this node has reported to the platform in this tenure.
     """
 
     def __init__(self, context: Context, peers: Peers, autoscaler: Autoscaler) -> None:
@@ -72,7 +84,7 @@
         self.last_record: DutyRecord | None = None
 
     def run(self) -> None:
-        """Hold the duties, or wait to; the body of a greenlet."""
+        """Hold the duties or wait to claim them; the body of a greenlet."""
         while True:
             try:
                 self.step()
@@ -89,7 +101,13 @@
             gevent.sleep(STEP_S)
 
     def step(self) -> None:
-        """Act once, as holder or as candidate; raises StoreError."""
+        """Act once, as holder or as candidate.
+
+        Raises
+        ------
+        StoreError
+            If a call to the store fails.
+        """
         if self._is_holder() and self.eligible:
             self._act_as_holder()
         else:
@@ -102,15 +120,16 @@
     def _is_holder(self) -> bool:
         return self.lease.held(boot_time())
 
-    # Taking over
+    # Claiming
 
     def _is_due(self) -> bool:
-        """Return whether no holder is heard, for as long as this node's rank says.
+        """Return whether there has been no holder for as long as this node must wait.
 
-        A holder that dies or that the store turns away is heard of for seconds more.
-        Its records aren't: once none was told of for as long as a successor waits, the
-        duties are free. Orders of servers then stand still for 4 s instead of 7 s
-        (87 nodes, a third turned away by the store together with the holder).
+        A holder that dies, or whose calls the store rejects, still counts as live and
+        holding for seconds. Its records stop at once, so the duties also count as free
+        when the log has not grown for the lease and this node's wait. With 87 nodes, of
+        which the store rejects a third together with the holder, autoscaling then
+        pauses for 4 s instead of 7 s.
         """
         if self.context.table is None:
             return False
@@ -127,12 +146,13 @@
     def _rank_delay_s(self) -> float:
         """Return how much longer than the first candidate this node waits, seconds.
 
-        Who has run for longest has the most complete counts of usage.
+        The node that has run for longest goes first: its usage counts are the most
+        complete.
         """
         return RANK_DELAY_S * self.peers.rank()
 
     def _log_is_stale(self) -> bool:
-        """Return whether no record was told of for as long as a successor waits."""
+        """Return whether the log has not grown for as long as this node must wait."""
         moved_at = self.peers.duty_log_moved_at
         if moved_at is None:
             return False
@@ -167,7 +187,7 @@
         self.lease.extend(self.lease.fence, sent_at, self.log)
 
     def release(self) -> None:
-        """Let another node take over at once."""
+        """Release the duties, so that another node can claim them at once."""
         self.eligible = False
         if not self._is_holder():
             return
@@ -182,13 +202,16 @@
     def _append(self, kind: DutyKind, body: dict) -> int:
         """Append a record at the log's known end and return its offset.
 
-        An answer may be lost, and the append done all the same or even seconds later.
-        The log tells: a record of this very append counts as its answer.
+        The store's answer may be lost although the append is done, at once or seconds
+        later. So after an uncertain result the log is read again; if its last record is
+        this one, the append succeeded.
 
         Raises
         ------
         StoreConflictError
-            If the log has moved on without this record; the lease is dropped.
+            If the log has grown without this record; the lease is dropped.
+        StoreError
+            If the append failed, or its result is still unknown.
         """
         record = self._make_record(kind, body)
         at = self.log.end
@@ -244,7 +267,7 @@
     # Usage
 
     def _report_usage(self) -> None:
-        """Report each window once it is over and counted."""
+        """Record and report each usage window after its end and the report delay."""
         if time.monotonic() < self.next_try_at:
             return
         settled = self.context.true_time.now() - REPORT_DELAY_S
@@ -257,7 +280,11 @@
                 self._send_window(window, counts)
 
     def _oldest_window(self, newest: int) -> int:
-        """Return the oldest window worth reporting now."""
+        """Return the oldest window to report.
+
+        Left out are windows that are too old to be reported, and those that ended
+        before this node started.
+        """
         bounds = self.context.settings.bounds
         late = int(bounds.usage_late_s // bounds.usage_window_s)
         ran_for = time.monotonic() - self.context.started_at
@@ -265,9 +292,9 @@
         return max(newest - late, self.context.meter.window_of(start))
 
     def _record_window(self, window: int) -> None:
-        """Record the counts before they are sent.
+        """Append a window's counts to the duties log before they are reported.
 
-        Whoever takes over after this node died in between sends the same ones.
+        If this node dies in between, its successor reports the same counts.
         """
         counts = self.context.meter.total(window)
         sent_at = boot_time()
--- a/packages/endive_gateway/src/endive_gateway/following.py
+++ b/packages/endive_gateway/src/endive_gateway/following.py
@@ -1,4 +1,8 @@
-"""What the store says, followed: topics in general, and the list of servers."""
+"""Follows keyed topics of the store: the common part, and the topic of servers.
+
+Only some nodes, the readers, have to read the servers from the store. They relay what
+changed to the others in their state messages.
+"""
 
 import time
 from collections import deque
@@ -16,63 +20,63 @@
 
 SERVER_READ_INTERVAL_S = 0.7
 """Time between two reads of the servers, seconds. A leaving server may get requests
-for two seconds after its entry changed, and each read is paid for."""
+for two seconds after its entry changed, and the platform charges for each read."""
 
 MIN_READ_BACKOFF_S = 0.25
 MAX_READ_BACKOFF_S = 1.0
-"""Time before the next try after a failed read, doubled each time, seconds. Callers
-notice a configuration that is late by one more second than the store was away."""
+"""Delay after a failed read, first and longest, doubled each time, seconds. The longest
+delay adds to an outage of the store before a changed configuration is in force."""
 
 RELAY_TIMEOUT_S = 0.9
-"""Time without news from a reader after which a node reads by itself, seconds. Each of
-four readers or more tells once in that time. A leaving server may get requests for two
-seconds, of which the reader takes up to 0.7."""
+"""Time without changes relayed by a reader after which a node reads the store itself,
+seconds. Each of at least four readers sends once in that time. A leaving server may get
+requests for two seconds, of which the reader's own read takes up to 0.7 s."""
 
 RELAY_CHECK_INTERVAL_S = 0.2
-"""How often a node that is told looks whether it still is, seconds."""
+"""Time between two checks whether readers still relay to this node, seconds."""
 
 CHANGE_HISTORY_S = 3.0
-"""Time for which changes are told again, seconds: a few tellings in a row may be lost
-before a node has to read by itself."""
+"""Time for which a change is sent again in each message, seconds. Several messages in a
+row may be lost before a node has to read the store itself."""
 
 MAX_DELTA_BYTES = 800
-"""Most bytes of changes in one telling, so that it stays within one frame: some twenty
-servers, compressed. Who misses what didn't fit reads by itself."""
+"""Largest compressed changes in one message, bytes, about twenty servers; the message
+then fits one Ethernet frame. Nodes that miss changes left out read the store."""
 
 OUTAGE_RECOVERY_S = 4.0
-"""Time after the store's return for which a lapsed entry may be its own outage's
-doing, seconds: servers write again within one heartbeat and some margin."""
+"""Time after an outage of the store for which an entry may have lapsed because of the
+outage, seconds: servers write their entries again within one heartbeat and a margin."""
 
 TIMER_SLACK_S = 0.02
-"""By how much a timer may fire before the clock says so, seconds: the event loop counts
-from its last look at the clock."""
+"""Margin for timers that fire early, seconds: the event loop measures from the time at
+which it last read the clock."""
 
 
 class Readers(Protocol):
-    """Who of the nodes reads the store for the others."""
+    """Which nodes read the store on behalf of the others."""
 
     def is_reader(self) -> bool:
         """Return whether this node is one of them."""
         ...
 
     def every_node_reads(self) -> bool:
-        """Return whether the nodes are so few that each reads the configuration."""
+        """Return whether so few nodes run that each reads the configuration itself."""
         ...
 
     def await_first_configuration(self) -> bool:
-        """Wait for another node's configuration; return whether it came."""
+        """Wait for a peer's configuration; return whether one arrived."""
         ...
 
     def rank(self) -> int:
-        """Return how many live nodes come before this one."""
+        """Return how many live nodes have run for longer than this one."""
         ...
 
     def live_node_count(self) -> int:
-        """Return how many nodes are in touch, this one included."""
+        """Return how many nodes are live, this one included."""
         ...
 
     def broadcast_soon(self) -> None:
-        """Tell the others soon, if this node reads for them."""
+        """Send the next state messages early, if this node is a reader."""
         ...
 
 
@@ -82,13 +86,20 @@
     Attributes
     ----------
     readers : Readers or None
-        Without it this node always reads by itself.
-    lost_at, back_at : float or None
-        When the store stopped answering, and when it answered again.
-    asked_at : float or None
+        Without it this node always reads the store itself.
+    relayed_at : float
+        When a reader's changes were last applied, on the monotonic clock.
+    next_offset : int
+        Offset from which the topic is read next.
+    unavailable_since, available_since : float or None
+        When the store stopped answering, and when it answered again, on the monotonic
+        clock.
+    read_started_at : float or None
         When the read under way began, on the boot clock; ``None`` between two reads.
-    answered_at : float or None
+    last_answer_at : float or None
         When the store last answered a read, on the boot clock.
+    synced : bool
+        Whether the newest records have been read, and all later changes since.
     """
 
     topic: Topic
@@ -106,12 +117,12 @@
         self.synced = False
 
     def run(self) -> None:
-        """Follow for ever; the body of a greenlet."""
+        """Follow the topic indefinitely; the body of a greenlet."""
         while True:
             gevent.sleep(self.step())
 
     def step(self) -> float:
-        """Read once; return the seconds until the next time."""
+        """Read once, if this node has to; return the seconds until the next step."""
         if self.has_snapshot and self.is_relayed():
             return RELAY_CHECK_INTERVAL_S
         read_started_at = self.read_started_at = boot_time()
@@ -134,29 +145,35 @@
 
     @property
     def has_snapshot(self) -> bool:
-        """Whether this node has what changes are told of."""
+        """Whether this node has a state to which relayed changes can be applied."""
         return self.synced
 
     def is_relayed(self) -> bool:
-        """Return whether other nodes read for this one and are in touch."""
+        """Return whether readers relay the topic to this node."""
         if self.readers is None or self.readers.is_reader():
             return False
         return time.monotonic() - self.relayed_at < RELAY_TIMEOUT_S
 
     def pause_s(self) -> float:
-        """Return the time between two reads that succeed."""
+        """Return the time between two successful reads, seconds."""
         raise NotImplementedError
 
     def wait_s(self) -> float:
-        """Return how long a read waits for a record."""
+        """Return how long a read waits for a record, seconds."""
         return 0.0
 
     def apply_record(self, record: Record) -> None:
-        """Take over one record."""
+        """Apply one record."""
         raise NotImplementedError
 
     def on_applied(self, keys: set[str] | None) -> None:
-        """Act on what was taken; `keys` are all keys there are, if that is known."""
+        """Act after records were applied.
+
+        Parameters
+        ----------
+        keys : set of str or None
+            All keys of the topic, if the newest record of each was read.
+        """
 
     def _read_newest(self) -> None:
         page = self.context.store.newest(self.topic)
@@ -191,7 +208,7 @@
             self.unavailable_since = None
 
     def _note_answer(self, read_started_at: float) -> None:
-        """Record that the read begun at `read_started_at` (boot clock) was answered."""
+        """Record that the read begun at `read_started_at` was answered."""
         self.backoff_s = MIN_READ_BACKOFF_S
         self.last_answer_at = boot_time()
 
@@ -213,13 +230,13 @@
             log_event("store_lost", topic=self.topic, error=error, answer_age_s=age_s)
 
     def answer_age_s(self) -> float:
-        """Return the seconds since the store last answered; -1 before that."""
+        """Return the seconds since the store last answered; -1 if it never did."""
         return (
             -1.0 if self.last_answer_at is None else boot_time() - self.last_answer_at
         )
 
     def waiting_s(self) -> float:
-        """Return for how many seconds the read under way has waited; 0 without one."""
+        """Return the seconds for which the read under way has waited; 0 without one."""
         return (
             0.0 if self.read_started_at is None else boot_time() - self.read_started_at
         )
@@ -233,7 +250,21 @@
 
 
 class ServerFollower(Follower):
-    """Keeps the list of servers."""
+    """Keeps the registry of servers up to date, and relays changes as a reader.
+
+    Attributes
+    ----------
+    dirty : bool
+        Whether the registry has changed since its listeners were last called.
+    has_leaving_server : bool
+        Whether a server has begun to leave since the last read.
+    changes : deque of Record
+        Records of recent changes, oldest first, for the state messages.
+    checkpoints : deque of (float, int)
+        For each recent read its time on the monotonic clock and the next offset.
+    history_start : int
+        Offset from which `changes` is complete.
+    """
 
     topic = Topic.SERVERS
 
@@ -251,7 +282,7 @@
 
     @property
     def after_outage(self) -> bool:
-        """Whether a lapsed entry may be the store's doing."""
+        """Whether an entry may have lapsed because of an outage of the store."""
         if self.available_since is None:
             return False
         return time.monotonic() - self.available_since < OUTAGE_RECOVERY_S
@@ -289,7 +320,13 @@
         self.history_start = self.next_offset
 
     def server_delta(self) -> ServerDelta | None:
-        """Return what this node read of late, for nodes that are told; None if not."""
+        """Return the recent changes for the other nodes.
+
+        Returns
+        -------
+        ServerDelta or None
+            ``None`` if this node's own records are not up to date.
+        """
         now = time.monotonic()
         if not self.synced or self.unavailable_since is not None:
             return None
@@ -301,20 +338,21 @@
             self.changes.popleft()
         changes = pack_changes(self.changes)
         if len(changes) > MAX_DELTA_BYTES:
-            # All others have to read this once. Told as missing for the whole of the
-            # history, it would make each of them read five times.
+            # The other nodes have to read these changes from the store. History starts
+            # anew after them, so that each node reads once. If the gap stayed in every
+            # message for the whole history, each node would read five times.
             self.changes.clear()
             self.history_start = self.next_offset
             changes = pack_changes(self.changes)
         return ServerDelta(self.history_start, self.next_offset, changes)
 
     def apply_delta(self, server_delta: ServerDelta) -> None:
-        """Take over what a reader read, if it joins what this node knows.
+        """Apply a reader's changes if they continue from this node's offset.
 
-        What happened in between, if it doesn't, may be a server that leaves: when a
-        zone is reclaimed, more changes than a datagram holds. The node then reads by
-        itself at its next look; had it waited to be told of something that joins, the
-        server would have got requests for over two seconds.
+        If they don't, the missing changes may include a server that leaves: when a zone
+        is reclaimed, there are more changes than a datagram holds. The node then reads
+        the store at its next step. If it waited for a message that continues from its
+        offset, the server would get requests for over two seconds.
         """
         if not self.synced or server_delta.next < self.next_offset:
             return
@@ -354,6 +392,6 @@
             registry.changed()
 
     def _sweep(self) -> None:
-        """Give up the servers whose grace is over, without waiting for a read."""
+        """Drop servers whose grace period is over, without waiting for a read."""
         if self.context.registry.sweep(time.monotonic()):
             self.context.registry.changed()
--- a/packages/endive_gateway/src/endive_gateway/ordering.py
+++ b/packages/endive_gateway/src/endive_gateway/ordering.py
@@ -1,4 +1,4 @@
-"""Orders of servers, from the capacity decision to the cloud's calls."""
+"""Autoscaling: orders servers at the cloud as the capacity decision requires."""
 
 from collections.abc import Callable
 
@@ -23,49 +23,74 @@
 from endive_gateway.peers import Peers
 
 CALL_TIME_S = 0.4
-"""Time that a call to the cloud needs, seconds; none is begun with less lease left."""
+"""Time that a call to the cloud may take, seconds. No call is started with less lease
+left."""
 
 RETRY_S = 0.7
-"""Time before a call that failed is tried again, seconds."""
+"""Time before a failed call is retried, seconds."""
 
 ORDER_REPEAT_S = 15.0
-"""Time after which an order is sent again though it was taken, seconds: a lost change
-at the cloud would otherwise never be noticed."""
+"""Time after which an accepted order is sent again, seconds. A change that the cloud
+lost would otherwise never be noticed."""
 
 REGISTRATION_S = 2.0
-"""Time beyond a server's start by which it must be in the list, seconds: it writes once
-in 1.2 s, and the list is read each 0.7 s. An order whose servers are missing then is
-sent again."""
+"""Time after a server's start by which it must be in the registry, seconds: it writes
+its entry every 1.2 s, and the entries are read every 0.7 s. An order whose servers are
+missing then is sent again."""
 
 UNMEASURED_S = 8.0
 """Time of traffic after which the measured load is trusted, seconds. Until then the
-servers that are there at the start say how many are needed."""
+number of servers at the start is the lower bound."""
 
 WARM_UP_PART = 1.0
-"""Part of the servers at the start that is taken to be needed at least until then. The
-first seconds of traffic find all caches cold; with 0.6 a third of them came late."""
+"""Part of the servers at the start that counts as the lower bound until then. The first
+seconds of traffic meet cold caches; with 0.6 a third of the responses were late."""
 
 SCALE_IN_DELAY_S = 5.0
-"""Time for which fewer servers must be wanted before any is given back, seconds: a
-little more than one takes to start."""
+"""Time for which fewer servers must be needed before any is released, seconds: slightly
+longer than a server takes to start."""
 
 ON_DEMAND_SCALE_IN_DELAY_S = 1.0
-"""The same for on-demand servers, which go only when reclaimable ones are ready in
-their place: each second of four of them costs as much as 22 s of a reclaimable one."""
+"""The same for on-demand servers, which are released only when reclaimable ones have
+replaced them. Four on-demand servers cost as much in one second as a reclaimable server
+in 22 s."""
 
 IDLE_SCALE_IN_DELAY_S = 0.5
-"""The same before the first request of all: nothing is lost by it."""
+"""The same before the first request, when no caller can be affected."""
 
 LIST_SETTLE_S = 2.5
-"""Time after the list of servers was first read until it is taken to be whole,
-seconds: each server writes once in 1.2 s."""
+"""Time after the first read of the servers' entries until the registry counts as
+complete, seconds: each server writes its entry every 1.2 s."""
 
 LEAST_NEEDED = 1.6
-"""Servers needed at the least, whatever the load: with fewer, one crash leaves one."""
+"""Lower bound of the needed servers at any load. With fewer, a single crash would leave
+one server."""
 
 
 class Autoscaler:
-    """Keeps each scaled service at the size that the decision wants."""
+    """Keeps each scaled service at the size that the capacity decision gives.
+
+    Attributes
+    ----------
+    load_meters : dict of str to LoadMeter
+        Measured load by service.
+    initial_servers : dict of str to int
+        Highest number of on-demand servers of each service before the first traffic.
+    traffic_since : float or None
+        When load was first measured.
+    accepted : dict
+        By service and pool, the number of servers last ordered and the time of that.
+    refusals : dict
+        By service and pool, until when the cloud is not asked again.
+    reclaimed_at : dict of str to float
+        By service, when a zone last lost all its reclaimable servers.
+    scale_in_since : dict
+        By service and pool, since when fewer servers are needed than ordered.
+    list_known_since : float or None
+        When the registry of servers was first known.
+    last_ready : dict
+        By service and pool, the number of ready servers at the last step.
+    """
 
     def __init__(self, context: Context, peers: Peers) -> None:
         self.context = context
@@ -83,10 +108,11 @@
         self.last_ready: dict[tuple[str, Pool], int] = {}
 
     def begin_tenure(self, now: float) -> None:
-        """Start a tenure: what others ordered isn't known, so what is there counts.
+        """Start a tenure as holder.
 
-        A node that has only just started, with all others perhaps, has measured no
-        load yet. Sized by that, a service would shrink right after an outage.
+        Orders of former holders are unknown, so the usable servers count as ordered. A
+        node that has just started has measured no load yet; if services were sized by
+        that, they would shrink right after an outage in which all nodes restarted.
         """
         self.accepted.clear()
         for known in self.context.registry.servers.values():
@@ -101,9 +127,9 @@
     def step(self, node: str, lease: Lease, now: float) -> None:
         """Send the orders that are due.
 
-        Before all servers have registered only reclaimable ones are ordered, so many as
-        the servers seen so far call for: they take 4 s to start, on-demand ones run
-        meanwhile, and more can be ordered at the next step.
+        Before all servers have had time to register, only reclaimable ones are ordered,
+        as many as the servers registered so far require. They take 4 s to start while
+        on-demand ones run, and more can be ordered at the next step.
         """
         if now < self.next_try_at or not self.context.registry.known_once:
             return
@@ -112,7 +138,7 @@
             for pool, servers in self._desired(service, now).items():
                 if not (settled or pool.reclaimable):
                     continue
-                # The orders before this one may have taken seconds at a slow cloud.
+                # Earlier orders of this step may have taken seconds at a slow cloud.
                 if not lease.held(self.clock() + CALL_TIME_S):
                     return
                 self._order(node, lease, service, pool, servers, now)
@@ -123,7 +149,10 @@
         return [service for service in services if service.scaling]
 
     def sample_load(self, now: float) -> None:
-        """Take in the fleet's load; every node does, to know it when it takes over."""
+        """Add a sample of the load of all nodes.
+
+        Every node does this, so that a new holder knows the load of the last seconds.
+        """
         total: dict[str, float] = dict(self.context.work.told)
         for peer in self.peers.live():
             for service, work in peer.work.items():
@@ -134,7 +163,7 @@
             self.load_meters.setdefault(service, LoadMeter()).add(work, now)
 
     def needed(self, service: Service, now: float) -> float:
-        """Return the servers that carry the service's load."""
+        """Return the number of servers that the service's load requires."""
         load = self.load_meters.get(service.name)
         needed = max(LEAST_NEEDED, load.peak() / USED_PART if load else 0.0)
         if self._is_measured(now):
@@ -148,10 +177,10 @@
         return since is not None and now - since >= UNMEASURED_S
 
     def _is_settled(self, now: float) -> bool:
-        """Return whether the servers there are have had time to register.
+        """Return whether the running servers have had time to register.
 
-        Sized by the first few that wrote their entries, a service would shrink before
-        the first request comes.
+        If a service were sized by the first few entries, it would shrink before the
+        first request.
         """
         if self.list_known_since is None:
             self.list_known_since = now
@@ -161,7 +190,7 @@
         )
 
     def _count_initial(self, service: Service) -> None:
-        """Count the servers that the operators started with."""
+        """Record how many on-demand servers the operators started."""
         servers = self.context.registry.of_service(service.name)
         first = sum(s.usable and not s.entry.reclaimable for s in servers)
         self.initial_servers[service.name] = max(
@@ -169,7 +198,7 @@
         )
 
     def _pool_states(self, service: Service) -> dict[Pool, PoolState]:
-        """Count the servers that are there."""
+        """Count the registered servers by pool."""
         pools: dict[Pool, PoolState] = {}
         for known in self.context.registry.of_service(service.name):
             pool = Pool(known.entry.zone, known.entry.reclaimable)
@@ -203,7 +232,10 @@
     def _ordered_servers(
         self, service: Service, pools: dict[Pool, PoolState]
     ) -> dict[Pool, int]:
-        """Return what is on order, or what is there where this node ordered nothing."""
+        """Return the servers on order by pool.
+
+        Where this node has ordered nothing, the ready servers count.
+        """
         ordered = {pool: state.ready for pool, state in pools.items()}
         for (name, pool), (servers, _) in self.accepted.items():
             if name == service.name:
@@ -213,16 +245,16 @@
     def _detect_reclaims(
         self, service: Service, pools: dict[Pool, PoolState], now: float
     ) -> None:
-        """Note a zone that lost all its reclaimable servers though some were ordered.
+        """Detect zones that lost all their reclaimable servers though some are ordered.
 
-        Some servers never say that they leave, so the notice itself can be missed.
+        Some servers never report that they leave, so the notice itself can be missed.
         """
         zones = {pool.zone for pool in pools}
         for pool in (Pool(zone, True) for zone in zones):
             key = (service.name, pool)
             state = pools.get(pool, PoolState())
             ready, accepted = state.ready, self.accepted.get(key)
-            # Who has just taken over sees the zone's servers leave, and never saw them.
+            # A new holder may see only leaving servers of a zone, never ready ones.
             last_ready = self.last_ready.get(key, state.leaving)
             if last_ready and not ready and (not accepted or accepted[0]):
                 self.reclaimed_at[service.name] = now
@@ -233,10 +265,10 @@
     def _may_scale_in(
         self, key: tuple[str, Pool], servers: int, accepted: int, now: float
     ) -> bool:
-        """Return whether fewer servers have been wanted for long enough.
+        """Return whether fewer servers have been needed for long enough.
 
-        Reclaimable ones come and go within seconds of a reclaim; what is given back in
-        between has to start again.
+        The number of reclaimable servers changes within seconds during a reclaim, and a
+        server released meanwhile would have to be started again.
         """
         if servers >= accepted:
             self.scale_in_since.pop(key, None)
@@ -286,7 +318,7 @@
         )
 
     def _repeat_delay_s(self, service: Service, pool: Pool, servers: int) -> float:
-        """Return the time after which the same order is sent again, seconds."""
+        """Return the time after which an unchanged order is sent again, seconds."""
         if self._pool_states(service).get(pool, PoolState()).ready >= servers:
             return ORDER_REPEAT_S
         return min(ORDER_REPEAT_S, service.scaling.boot_s + REGISTRATION_S)
--- a/packages/endive_gateway/src/endive_gateway/servers.py
+++ b/packages/endive_gateway/src/endive_gateway/servers.py
@@ -1,4 +1,4 @@
-"""Which backend servers there are: the store's entries, corrected by own evidence."""
+"""Registry of backend servers: the store's entries, corrected by observed responses."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,20 +8,21 @@
 from endive_gateway.interfaces import ServerEntry, ServerState
 
 LAPSE_GRACE_S = 1.0
-"""Time for which a server whose entry lapsed while the store was away is still used,
-seconds. Such entries are back within two seconds of its return. But the server may
-really be leaving, and may get no request two seconds after its entry went: that may
-have been one read, 0.7 s, before this node saw it, and 0.3 s are left for the way."""
+"""Time for which a server whose entry lapsed during an outage of the store is still
+used, seconds. A running server writes its entry again within two seconds of the end of
+the outage. But the server may really be leaving, and must get no request two seconds
+after its entry was deleted: up to 0.7 s of these pass before this node reads that, and
+0.3 s are left for the network."""
 
 
 @dataclass(slots=True)
 class KnownServer:
-    """One server, as this node believes it to be.
+    """What this node knows of one server.
 
     Attributes
     ----------
-    gone_at : float or None
-        When it is to be given up, if its entry lapsed during an outage.
+    drop_at : float or None
+        When it is to be dropped, if its entry lapsed during an outage of the store.
     contradicted : bool
         Whether another server answered at its address.
     """
@@ -37,12 +38,14 @@
 
 
 class ServerRegistry:
-    """All servers by id, and who wants to hear of changes.
+    """All known servers by id.
 
     Attributes
     ----------
     listeners : list of callable
         Called without arguments after a change.
+    known_once : bool
+        Whether the servers have been read from the store at least once.
     """
 
     def __init__(self) -> None:
@@ -51,7 +54,7 @@
         self.known_once = False
 
     def get(self, server_id: str) -> KnownServer | None:
-        """Return what is known of a server."""
+        """Return the server with this id, or ``None`` if it is unknown."""
         return self.servers.get(server_id)
 
     def of_service(self, service: str) -> list[KnownServer]:
@@ -59,9 +62,9 @@
         return [s for s in self.servers.values() if s.entry.service == service]
 
     def put(self, entry: ServerEntry) -> bool:
-        """Take over an entry; return whether anything but its number changed.
+        """Store an entry; return whether anything but its sequence number changed.
 
-        An entry that is older than the one known came late, and says nothing new.
+        An entry that is older than the known one arrived late and is ignored.
         """
         known = self.servers.get(entry.id)
         if known is not None:
@@ -90,12 +93,13 @@
         return content_changed
 
     def drop(self, server_id: str, now: float, *, after_outage: bool) -> bool:
-        """Give up a server whose entry is gone; return whether anything changed.
+        """Drop a server whose entry was deleted; return whether anything changed.
 
         Parameters
         ----------
         after_outage : bool
-            Whether the entry may have lapsed only because the store was away.
+            Whether the entry may have lapsed only because of an outage of the store.
+            A ready server then stays in use for the grace period.
         """
         known = self.servers.get(server_id)
         if known is None:
@@ -111,11 +115,11 @@
 
     @property
     def has_lapsed(self) -> bool:
-        """Whether any server is in its grace."""
+        """Whether any server is in its grace period."""
         return any(known.drop_at is not None for known in self.servers.values())
 
     def sweep(self, now: float) -> bool:
-        """Give up the servers whose grace is over; return whether any was."""
+        """Drop servers whose grace period is over; return whether there were any."""
         over = [
             server_id
             for server_id, known in self.servers.items()
@@ -127,7 +131,10 @@
         return bool(over)
 
     def contradict(self, server_id: str) -> None:
-        """Use a server no more until it registers anew: another has its address."""
+        """Stop using a server until it registers with another address or incarnation.
+
+        Called when another server answered at its address.
+        """
         known = self.servers.get(server_id)
         if known is not None and not known.contradicted:
             known.contradicted = True
@@ -135,7 +142,7 @@
             self.changed()
 
     def changed(self) -> None:
-        """Tell the listeners."""
+        """Call the listeners."""
         for listener in self.listeners:
             listener()
 
