--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway: its parts, its start and its stop."""
+"""The gateway of one process: creates its components, starts and stops them."""
 
 import socket
 import time
@@ -25,31 +25,31 @@
 from endive_gateway.spending import SpendingExchange
 
 POOL_SWEEP_INTERVAL_S = 0.5
-"""How often idle connections to servers are looked at, seconds: their time-outs are
+"""Time between two sweeps of idle connections to servers, seconds: their time-outs are
 whole seconds."""
 
 DEREGISTRATION_S = 3.0
-"""Time after the signal to stop for which idle callers' connections stay open, seconds.
-The balancer asks once a second and takes a node out after two misses; until then new
-connections come, and a close could cross a request."""
+"""Time after the signal to stop for which callers' idle connections stay open, seconds.
+The load balancer probes once a second and removes a node after two failures. Until then
+new connections arrive, and closing one could lose a request that is on its way."""
 
 DRAIN_POLL_S = 0.05
-"""How often a node that stops looks whether all requests are answered, seconds."""
+"""Time between two checks of a stopping node for unfinished requests, seconds."""
 
 EXIT_MARGIN_S = 0.4
-"""Time before the end of the grace period at which the process ends by itself, seconds:
-it closes its connections in good order, which the kill would not."""
+"""Time before the end of the grace period at which the process exits, seconds. It then
+closes its connections properly; SIGKILL would not."""
 
 READINESS_RESPONSE = b"HTTP/1.1 %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
 class Gateway:
-    """Everything that one process runs.
+    """All components of a gateway process.
 
     Parameters
     ----------
     callers_port : socket or None
-        The callers' port if it is open already, not blocking.
+        Listening, non-blocking socket for callers, if the process opened it already.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers' connections are welcome."""
+        """Whether the load balancer should send new connections."""
         return (
             self.stopping_at is None
             and self.context.table is not None
@@ -98,7 +98,7 @@
         )
 
     def start(self) -> None:
-        """Start all parts."""
+        """Start all components."""
         place = self.settings.place
         log_event("start", node=place.node, zone=place.zone, address=place.address)
         loops = [
@@ -125,7 +125,7 @@
         self.callers.start()
 
     def _register_metrics(self) -> None:
-        """Let the metrics show how fresh what the store says is here."""
+        """Register metrics that show how current this node's view of the store is."""
         show = self.context.metrics.show
         show("endive_configuration_version", lambda: self.context.version)
         show("endive_configuration_proof_age_seconds", self.configuration.proof_age_s)
@@ -135,7 +135,7 @@
             show("endive_store_read_waiting_seconds", follower.waiting_s, topic=topic)
 
     def _answer_ready(self, sock, _address) -> None:
-        """Answer the balancer's question; whatever it asks for, there is one answer."""
+        """Answer a readiness probe; the response is the same for every path."""
         with gevent.Timeout(1.0, False):
             while sock.recv(4096):
                 status = b"200 OK" if self.is_ready else b"503 Service Unavailable"
@@ -148,7 +148,10 @@
             self.context.pool.sweep()
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take over changed settings; the node's own addresses need a new start."""
+        """Apply changed settings, apart from the node's addresses.
+
+        New addresses need a restart; the current ones are kept.
+        """
         if settings == self.settings:
             log_event("reload", changed="nothing")
             return
@@ -159,7 +162,7 @@
         self.settings = self.context.settings = settings
 
     def drain(self) -> None:
-        """Stop: take nothing new, finish what was accepted, then end."""
+        """Stop: accept no new requests, finish those accepted, then set `stopped`."""
         if self.stopping_at is not None:
             return
         self.stopping_at = time.monotonic()
@@ -169,8 +172,8 @@
         grace = self.settings.bounds.grace_s - EXIT_MARGIN_S
         end = self.stopping_at + grace
         gevent.sleep(min(DEREGISTRATION_S, grace))
-        # A request that comes later than this may last longer than the grace period,
-        # and this process would end in the middle of its answer.
+        # A request accepted after this point could last longer than the grace period,
+        # and the process would exit in the middle of its response.
         self.callers.stop_accepting()
         while time.monotonic() < end and self.callers.busy:
             self.callers.close_idle()
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -1,4 +1,4 @@
-"""The seams to the platform, as Protocol types, and what passes through them."""
+"""Interfaces between the gateway and the platform, and the types that they use."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Topic(StrEnum):
-    """Streams of records that the gateway reads or keeps."""
+    """Topics of the store that the gateway reads or writes."""
 
     CONFIGURATION = "configuration"
     SERVERS = "servers"
@@ -28,7 +28,7 @@
     key : str
         Empty in a topic without keys.
     value : bytes or None
-        ``None`` where the key was dropped.
+        ``None`` if the key was deleted.
     """
 
     offset: int
@@ -38,12 +38,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A run of records.
+    """Consecutive records, as one read returns them.
 
     Attributes
     ----------
     first, end : int
-        Oldest offset kept, and the offset that the next record will get.
+        Oldest offset that the store retains, and the offset of the next record to be
+        appended.
     """
 
     first: int
@@ -52,35 +53,38 @@
 
 
 class Store(Protocol):
-    """The platform's store, as a log of records by topic."""
+    """The platform's store: an append-only log of records for each topic."""
 
     def newest(self, topic: Topic) -> Page:
         """Return the newest record of each key; raises :class:`StoreError`."""
         ...
 
     def read(self, topic: Topic, start: int, *, wait_s: float = 0.0) -> Page:
-        """Read from `start`, waiting for a first record up to `wait_s` seconds.
+        """Read from offset `start`; wait up to `wait_s` seconds for a first record.
 
         Raises
         ------
         StoreForgottenError
-            If `start` is older than the store keeps.
+            If `start` is older than the oldest record that the store retains.
         StoreError
             If the store does not answer.
         """
         ...
 
     def append(self, topic: Topic, value: bytes, *, at: int | None = None) -> int:
-        """Append one record, only if the topic ends at `at` if that is given.
+        """Append one record and return its offset.
 
-        Returns the record's offset.
+        Parameters
+        ----------
+        at : int or None
+            If given, the record is appended only if the topic ends at this offset.
 
         Raises
         ------
         StoreConflictError
-            If the topic ends elsewhere.
+            If the topic ends at another offset.
         StoreUncertainError
-            If it may have been done, or may still be.
+            If the append may have been done, or may still be.
         """
         ...
 
@@ -91,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """How many servers of one kind a service is to have in a zone."""
+    """The number of servers of one kind that a service is to have in a zone."""
 
     service: str
     zone: str
@@ -100,21 +104,49 @@
 
 
 class Cloud(Protocol):
-    """The platform's calls that one node makes at a time."""
+    """The platform's calls that only the holder of the duties makes."""
 
     def report_usage(
         self, holder: str, fence: int, window: int, counts: Mapping[str, int]
     ) -> None:
-        """Report what each organisation began in a window; raises CloudError."""
+        """Report the requests that each organisation began in a usage window.
+
+        Parameters
+        ----------
+        holder : str
+            Name of the calling node.
+        fence : int
+            Fencing number of the holder's claim.
+
+        Raises
+        ------
+        CloudError
+            If the call is refused or not answered.
+        """
         ...
 
     def order(self, holder: str, fence: int, order: Order) -> None:
-        """Order servers; raises :class:`CloudEmptyError` or :class:`CloudError`."""
+        """Order servers.
+
+        Parameters
+        ----------
+        holder : str
+            Name of the calling node.
+        fence : int
+            Fencing number of the holder's claim.
+
+        Raises
+        ------
+        CloudEmptyError
+            If there are no servers of the kind at the moment.
+        CloudError
+            If the call is refused or not answered.
+        """
         ...
 
 
 class ServerState(StrEnum):
-    """What a backend server says of itself."""
+    """State that a backend server reports in its entry."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -122,16 +154,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """A backend server, as it registered itself.
+    """Entry with which a backend server registers itself in the store.
 
     Attributes
     ----------
     incarnation : int
-        Grows with each start under the same id.
+        Increases with each start under the same id.
     sequence : int
-        Grows with each entry of one incarnation.
+        Increases with each entry of one incarnation.
     leaves_in_s : float or None
-        Time it has left when the entry was written, if it is being reclaimed.
+        Seconds until the server is gone, counted from when the entry was written, if it
+        is being reclaimed.
     """
 
     id: str
@@ -148,14 +181,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerDelta:
-    """What a node read of the servers, for others that need not read it.
+    """Recent changes of the servers, which a reader relays to the other nodes.
+
+    Datagrams contain the field names.
 
     Attributes
     ----------
     first, next : int
-        The offsets that `changes` cover, the last one not included.
+        Range of offsets that `changes` covers; `next` is not included.
     changes : bytes
-        The records that changed anything, packed.
+        The compressed records that changed the registry.
     """
 
     first: int
@@ -170,9 +205,9 @@
     Attributes
     ----------
     id : int
-        Hash of its content.
+        Hash of the content.
     tokens : int
-        Its length.
+        Length in tokens.
     """
 
     id: int
@@ -181,16 +216,22 @@
 
 @dataclass(slots=True)
 class RequestFacts:
-    """What a caller's headers say of its request.
+    """What the headers of a caller's request state.
 
     Attributes
     ----------
+    id : str
+        The request's id.
     budget_s : float or None
-        How long the caller will wait.
+        Seconds for which the caller will wait.
+    key : str
+        The caller's API key; empty if there is none.
     prompt_tokens, max_tokens : int or None
-        Length of the prompt, and the most tokens of the answer.
+        Length of the prompt, and of the longest response, in tokens.
+    parts : tuple of PromptPart
+        Parts of the prompt that other requests may share.
     last_event : str
-        The last event that the caller has, if it resumes a stream.
+        Id of the last event that the caller has received, if it resumes a stream.
     """
 
     id: str
@@ -205,20 +246,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Sending:
-    """What this node adds when it sends a request to a server.
+    """What the gateway adds to a request's headers when it sends it to a server.
 
     Attributes
     ----------
     server_id : str
-        The server that is meant; any other one refuses.
+        The intended server; any other one refuses the request.
     left_s : float
-        How long the server may work.
+        Seconds that are left for the request.
     urgency : int
-        0 is admitted first.
+        Priority at the server; 0 is admitted first.
     last_event : str
-        Resume after this event; empty for a new run.
+        Id of the event after which the stream resumes; empty for a new run.
     copy : str
-        Where a copy of the run's memory lies; empty if there is none.
+        Where a copy of the run's KV cache is stored; empty if there is none.
     """
 
     server_id: str
@@ -231,16 +272,16 @@
 
 @dataclass(slots=True)
 class AnswerFacts:
-    """What a server's headers say of its answer.
+    """What the headers of a server's response state.
 
     Attributes
     ----------
     sealed : bool
-        Whether it bears the server's signature.
+        Whether the response carries the server's signature.
     not_run : bool
-        Whether the server says that it did not run the request.
+        Whether the server states that it did not run the request.
     running, waiting, slots : int or None
-        The server's load.
+        The server's load: running and waiting requests, and slots.
     """
 
     request_id: str = ""
@@ -254,7 +295,7 @@
 
 @dataclass(frozen=True)
 class ServerAnswer:
-    """A whole answer that a server gave."""
+    """A complete response of a server."""
 
     status: int
     reason: bytes
@@ -263,51 +304,55 @@
 
 
 class Wire(Protocol):
-    """Translates headers between the platform's names and ours."""
+    """Translates the platform's headers and stored documents to the gateway's types."""
 
     def decode_request(self, headers: Headers) -> RequestFacts:
-        """Return what a caller's headers say; raises :class:`BadHeaderError`."""
+        """Decode a caller's headers; raises :class:`BadHeaderError`."""
         ...
 
     def encode_request(
         self, headers: Headers, facts: RequestFacts, sending: Sending
     ) -> Headers:
-        """Return the caller's headers, cleaned, with what this node adds."""
+        """Return the headers for a server.
+
+        Headers that a caller may not set for a server are removed from the caller's,
+        and those in `sending` are added.
+        """
         ...
 
     def kept(self) -> frozenset[bytes]:
-        """Return the lower-case names that a caller can't keep from the servers."""
+        """Return the names that a ``Connection`` header can't remove, in lower case."""
         ...
 
     def decode_answer(self, headers: Headers) -> AnswerFacts:
-        """Return what a server's headers say."""
+        """Decode the headers of a server's response."""
         ...
 
     def own_answer(self, facts: RequestFacts) -> Headers:
-        """Return the headers of an answer that this node makes itself."""
+        """Return the headers of a response that the gateway generates itself."""
         ...
 
     def decode_configuration(self, value: bytes) -> RoutingTable:
-        """Return a configuration; raises :class:`UndecodableError`."""
+        """Decode a configuration; raises :class:`UndecodableError`."""
         ...
 
     def decode_server(self, server_id: str, value: bytes) -> ServerEntry:
-        """Return a server's entry; raises :class:`UndecodableError`."""
+        """Decode a server's entry; raises :class:`UndecodableError`."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Figures that operators promise callers.
+    """Limits that the operators set, mostly as guarantees to callers.
 
     Attributes
     ----------
     drain_s : float
-        How long a leaving server may still get requests.
+        Time for which a leaving server may still get requests, seconds.
     grace_s : float
-        Time between the signal to stop and the end.
+        Time between the signal to stop and the forced end of the process, seconds.
     config_s : float
-        Time within which a confirmed change is in force.
+        Time within which a confirmed change is in force at all nodes, seconds.
     """
 
     drain_s: float = 2.0
@@ -323,14 +368,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where this node is, and where others may be found.
+    """Name, addresses and zone of this node, and addresses of possible peers.
 
     Attributes
     ----------
+    address : str
+        IP address.
     peer_port : int
-        UDP port, the same on all nodes; the next one is the TCP port.
+        UDP port of the state messages, the same on all nodes. The next port serves the
+        configuration by TCP and takes spending by UDP, the one after it takes prompts.
     seeds : tuple of str
-        Addresses of nodes that may be there.
+        Addresses at which other nodes may run.
     """
 
     node: str
@@ -346,7 +394,13 @@
 
 @dataclass(frozen=True)
 class GatewaySettings:
-    """What a gateway is told at its start."""
+    """Settings of a gateway.
+
+    Attributes
+    ----------
+    duties : frozenset of str
+        Names of the duties that the nodes perform, ``usage`` and ``scale``.
+    """
 
     place: Place
     bounds: Bounds = Bounds()
@@ -354,7 +408,7 @@
 
 
 def header_value(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> bytes:
-    """Return the value of the lower-case `name`, or nothing."""
+    """Return the value of the header with the lower-case `name`; empty if missing."""
     for key, value in headers:
         if key.lower() == name:
             return value
--- a/packages/endive_gateway/src/endive_gateway/listing.py
+++ b/packages/endive_gateway/src/endive_gateway/listing.py
@@ -1,4 +1,4 @@
-"""The list of nodes in the store: this node entered, the others read."""
+"""The list of nodes in the store: registers this node and reads the other entries."""
 
 from collections.abc import Callable
 
@@ -13,25 +13,26 @@
 from endive_gateway.nodes import NodeEntry
 
 LIST_READ_INTERVAL_S = 20.0
-"""How often the list of nodes in the store is read again, seconds: two nodes that
-never heard each other meet there."""
+"""Time between two reads of the list, seconds. Two nodes that have never received a
+message from each other find each other there."""
 
 MIN_LIST_RETRY_S = 0.4
 MAX_LIST_RETRY_S = 3.0
-"""Time before a read of the list that failed is tried again, doubled each time once it
-has been read, seconds. Each call is paid for, and a node that is turned away for 9 s
-would else make 22, a third of a fleet at a time. But a node that never read it knows of
-no other: started while the store was away, each lets through the whole of every limit
-from the moment the store is back."""
+"""Delay before a failed read of the list is retried, first and longest, seconds. It
+doubles each time once the list has been read: the platform charges for each call, and
+otherwise each node that the store rejects for 9 s would make 22, a third of the nodes
+at a time. Before that it stays short, since a node that has never read the list knows
+of no other. Nodes that start during an outage of the store would each admit the whole
+of every rate limit from the moment at which the store is available again."""
 
 
 class NodeList:
-    """Keeps this node in the list, and hands over who else is in it.
+    """Keeps this node in the list, and passes on the addresses in it.
 
     Parameters
     ----------
-    take : callable
-        Called with the addresses in the list, this node's own among them.
+    on_addresses : callable
+        Called with the addresses in the list, including this node's own.
 
     Attributes
     ----------
@@ -49,7 +50,7 @@
         self.is_read = Event()
 
     def follow(self) -> None:
-        """List this node, and learn of the others; the body of a greenlet."""
+        """Register this node and read the list repeatedly; the body of a greenlet."""
         registered = False
         retry_s = MIN_LIST_RETRY_S
         while True:
@@ -67,10 +68,11 @@
                 gevent.sleep(gap_s * self.context.random.uniform(0.7, 1.3))
 
     def register(self) -> bool:
-        """Enter this node in the list; return whether the store said that it did.
+        """Write this node's entry; return whether the store confirmed it.
 
-        The list is read all the same: where answers are lost, a node would else know of
-        no other, and let through the whole of every limit by itself.
+        The list is read in either case. Otherwise a node whose write is done but whose
+        answers are lost would know of no other node, and admit the whole of every rate
+        limit by itself.
         """
         entry = NodeEntry(self.address, self.context.incarnation)
         try:
--- a/packages/endive_gateway/src/endive_gateway/loops.py
+++ b/packages/endive_gateway/src/endive_gateway/loops.py
@@ -1,4 +1,4 @@
-"""Loops that a gateway runs for as long as it lives."""
+"""Supervision of the gateway's background loops."""
 
 from collections.abc import Callable
 
@@ -6,13 +6,14 @@
 from endive_node.logs import log_failure
 
 LOOP_RESTART_S = 0.5
-"""Time before a loop that failed starts again, seconds."""
+"""Delay before a failed loop is restarted, seconds."""
 
 
 def keep_running(loop: Callable[[], None]) -> None:
-    """Run `loop`, and again after an error; the body of a greenlet.
+    """Run `loop`, and restart it after an error; the body of a greenlet.
 
-    A loop that died of one odd record would leave the node on old news for good.
+    If one unexpected record ended the loop, the node would keep outdated state until it
+    is restarted.
     """
     while True:
         try:
--- a/packages/endive_gateway/src/endive_gateway/nodes.py
+++ b/packages/endive_gateway/src/endive_gateway/nodes.py
@@ -1,4 +1,4 @@
-"""Other nodes, as one node knows them."""
+"""What a node knows of the other nodes."""
 
 from dataclasses import dataclass, field
 
@@ -6,7 +6,7 @@
 
 
 class NodeEntry(msgspec.Struct):
-    """A node, as it lists itself in the store."""
+    """A node's entry in the list of nodes in the store."""
 
     address: str
     incarnation: int
@@ -18,10 +18,21 @@
 
     Attributes
     ----------
+    incarnation : int
+        Differs with each start of the node.
+    sequence : int
+        Number of its last state message; 0 if none was received.
     heard_at : float
-        When its last telling came, seconds on the monotonic clock; 0 if never.
+        When its last state message arrived, seconds on the monotonic clock; 0 if none
+        did.
+    added_at : float
+        When it became known, seconds on the monotonic clock.
+    version : int
+        Version of the configuration in force there; -1 if there is none.
     fence : int
-        Fencing number of the duties that it holds; 0 if it doesn't.
+        Fencing number of the duties that it holds; 0 if it doesn't hold them.
+    work : dict of str to float
+        Servers of each service that its requests keep busy.
     """
 
     address: str
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -1,11 +1,12 @@
-"""What gateways tell each other: small datagrams, and configurations on request.
+"""Exchange of state between gateways: periodic datagrams, and configurations on demand.
 
-The datagrams are msgpack by ``msgspec``, which each process needs anyway: thrift's
-library takes a fifth of the time in which a node starts, and while all nodes start
-anew, no caller is served.
+The datagrams are encoded in msgpack by ``msgspec``, which each process imports anyway.
+Importing the thrift library would take a fifth of a node's start-up time, and while all
+nodes restart, no caller is served.
 
-Nothing here has to arrive. A datagram holds whole figures, never changes of figures,
-so the next one makes good for one that was lost.
+Delivery is not guaranteed. A datagram contains totals, never increments, so the next
+one makes up for one that was lost. Only the changes of servers are increments; a node
+that misses some reads the store.
 """
 
 import time
@@ -28,58 +29,69 @@
 
 TELL_S = 0.2
 TELL_PER_NODE_S = 0.01
-"""Time between two tellings, seconds, at least and for each node known. What one node
-sends and receives then stays under 200 datagrams a second however many nodes there
-are; the limits shared by them are counted over 8 seconds."""
+"""Time between two state messages to the same peer, seconds: at least, and for each
+known node. A node then sends and receives fewer than 200 datagrams a second in total at
+any number of nodes. The shared rate limits are counted over 8 s."""
 
 MIN_READERS = 4
 NODES_PER_READER = 10
-"""Nodes that read the list of servers for all, at least, and for how many nodes one
-more. Each read is paid for, and 87 nodes made 290 a second."""
+"""Least number of nodes that read the servers' entries for all, and number of nodes for
+which there is one reader. The platform charges for each read, and 87 nodes made 290 a
+second when all of them read."""
 
 MAX_NODES_ALL_READ = 20
-"""Nodes up to which each one reads the configuration itself."""
+"""Largest number of nodes at which each reads the configuration from the store."""
 
 DATAGRAMS_PER_STEP = 10
-"""Datagrams sent at once; 10 of a kilobyte take 16 ms of the slowest link."""
+"""Datagrams sent at once; 10 of 1 KB take 16 ms on the slowest link."""
 
 URGENT_STEP_S = 0.025
-"""Time between ten datagrams and the next ten when a server leaves, seconds: 87 nodes
-are told within 0.23 s, at 3 Mbit/s."""
+"""Time between two steps of an urgent broadcast, when a server leaves, seconds. It
+reaches 87 nodes within 0.23 s, at 3 Mbit/s."""
 
 MAX_CRASHES = 4
-"""Crashes in one telling; each is told again until it is forgotten."""
+"""Most crashes in one state message; each is repeated until it expires."""
 
 LIVE_TIMEOUT_S = 1.5
-"""Time after which a silent node isn't counted as live, seconds: several tellings may
-be lost in a row."""
+"""Least time without a message after which a node no longer counts as live, seconds.
+Several messages in a row may be lost."""
 
 MISSED_BROADCASTS = 3
-"""Tellings in a row that may be missing before a node counts as silent."""
+"""Consecutive state messages that may be missing before a node counts as silent."""
 
 FORGET_AFTER_S = 30.0
-"""Time after which nothing is sent to a silent node any more, seconds."""
+"""Time without a message after which a node is removed, seconds."""
 
 LIST_WAIT_S = 0.1
-"""Longest time that a node that starts waits for the list of nodes, seconds; the store
-mostly gives it within 10 ms."""
+"""Longest time for which a starting node waits for the list of nodes, seconds. The
+store usually returns it within 10 ms."""
 
 GREETERS = 6
-"""Nodes that tell a newcomer at once that they have a configuration. One is enough;
-several spread the newcomers that start together."""
+"""Mean number of nodes that send a starting node a message at once, to announce that
+they have a configuration. One would be enough; several spread the pulls of nodes that
+start together."""
 
 
 class Peers:
-    """The other nodes, and the loops that talk with them.
+    """The other nodes, and the exchange of messages with them.
 
     Attributes
     ----------
+    known : dict of str to Peer
+        The other nodes by IP address.
+    sequence : int
+        Number of state messages that this node has sent.
     fence : int
-        Fencing number of the duties that this node holds; 0 if it doesn't.
-    duty_end : int
-        Newest known end of the duties' log.
-    duty_moved_at : float or None
-        When it was first heard of, on the boot clock; the log moved there earlier.
+        Fencing number of the duties that this node holds; 0 if it doesn't hold them.
+    duty_log_end : int
+        Newest known end of the duties log.
+    duty_log_moved_at : float or None
+        When this node learned of that end, on the boot clock; the log reached it
+        earlier.
+    live_timeout_s : float
+        Time without a message after which a node no longer counts as live, seconds.
+    urgent : Event
+        Set while the next broadcast must be sent quickly.
     """
 
     def __init__(self, context: Context) -> None:
@@ -106,7 +118,7 @@
             self._add_peer(seed)
 
     def start(self) -> None:
-        """Start listening and telling."""
+        """Open the ports and start the loops."""
         self.datagrams.start(self.address, self.port)
         self.configuration_exchange.start(self.address, self.port + 1)
         loops = (self._broadcast_loop, self.node_list.follow)
@@ -119,18 +131,18 @@
         self.datagrams.stop()
 
     def live(self) -> list[Peer]:
-        """Return the nodes heard a short while ago."""
+        """Return the nodes from which a message arrived recently."""
         now = time.monotonic()
         return [
             p for p in self.known.values() if now - p.heard_at < self.live_timeout_s
         ]
 
     def presumed_live(self) -> list[str]:
-        """Return the addresses of the nodes heard, or listed, a short while ago.
+        """Return the addresses of nodes that are live or were listed recently.
 
-        Nodes that start together read the same list before they hear each other. Had
-        each only those that it has heard, they would choose different ones to add up
-        what an organisation spends.
+        Nodes that start together read the same list before they receive each other's
+        messages. If each counted only the nodes that it has heard from, they would
+        choose different nodes to count an organisation's spending.
         """
         now = time.monotonic()
         return [
@@ -140,10 +152,10 @@
         ]
 
     def is_reader(self) -> bool:
-        """Return whether this node reads the store for the others.
+        """Return whether this node reads the store on behalf of the others.
 
-        The nodes that have run for longest do, a tenth of all and four at least: more
-        than are cut off or turned away together as a rule.
+        The readers are the nodes that have run for longest, a tenth of all and at least
+        four. That is more than usually lose the network or the store together.
         """
         live = self.live()
         readers = max(MIN_READERS, (len(live) + 1) // NODES_PER_READER)
@@ -154,7 +166,7 @@
         return self.older_among(self.live())
 
     def live_node_count(self) -> int:
-        """Return how many nodes are in touch, this one included."""
+        """Return how many nodes are live, this one included."""
         return len(self.live()) + 1
 
     def older_among(self, peers: list[Peer]) -> int:
@@ -163,25 +175,28 @@
         return sum((peer.incarnation, peer.node) < own for peer in peers)
 
     def every_node_reads(self) -> bool:
-        """Return whether the nodes are so few that each reads the configuration."""
+        """Return whether so few nodes run that each reads the configuration itself."""
         return len(self.known) + 1 <= MAX_NODES_ALL_READ
 
     def await_first_configuration(self) -> bool:
-        """Let another of many nodes hand over its configuration; say whether one did.
+        """Wait for a peer's configuration; return whether one arrived.
 
-        Few nodes read the store at once.
+        Where few nodes run, each reads the store at once and doesn't wait.
         """
         self.node_list.is_read.wait(LIST_WAIT_S)
         return not self.every_node_reads() and self.configuration_exchange.await_first()
 
     def _greet(self, peer: Peer) -> None:
-        """Tell a node that has no configuration yet that this one has."""
+        """Send a message to a node without a configuration, with some probability.
+
+        It announces that this node has one; `GREETERS` nodes do so on average.
+        """
         holders = 1 + sum(other.version >= 0 for other in self.live())
         if self.context.random.random() < GREETERS / holders:
             self.broadcast([peer])
 
     def _add_listed(self, addresses: list[str]) -> None:
-        """Take over which nodes the list names, and tell them of this one."""
+        """Add the nodes in the list, and send them this node's state."""
         for address in addresses:
             known = address in self.known
             if self._add_peer(address) is not None and not known:
@@ -197,7 +212,7 @@
             peer = self.known[address] = Peer(address, added_at=time.monotonic())
         return peer
 
-    # Telling
+    # Sending
 
     def _broadcast_loop(self) -> None:
         while True:
@@ -213,19 +228,20 @@
             self._expire_peers()
 
     def _set_timeouts(self, gap_s: float) -> None:
-        """Set how long a node may be unheard, from how often it tells.
+        """Set the time-outs of silent nodes from the time between two messages.
 
-        Had 87 nodes the time of eight, each would take half of the others for silent
-        and leave half of every limit to them.
+        With the time-out of eight nodes, each of 87 nodes would count half of the
+        others as silent and reserve half of every limit for them.
         """
         self.live_timeout_s = max(LIVE_TIMEOUT_S, MISSED_BROADCASTS * gap_s)
         self.context.limits.silent_s = max(SILENT_S, MISSED_BROADCASTS * gap_s)
 
     def _broadcast_in_steps(self, step_s: float) -> None:
-        """Tell all others, a few each `step_s` seconds, or until there is urgent news.
+        """Send this node's state to all peers, a few of them every `step_s` seconds.
 
-        The slowest links carry 5 Mbit/s. A hundred datagrams at once wait there for a
-        fifth of a second, or are dropped, always the same ones.
+        An urgent broadcast interrupts it. The slowest links carry 5 Mbit/s: a hundred
+        datagrams sent at once are queued there for 0.2 s, or some are dropped, always
+        those to the same nodes.
         """
         peers = list(self.known.values())
         for first in range(0, max(1, len(peers)), DATAGRAMS_PER_STEP):
@@ -234,16 +250,25 @@
                 return
 
     def broadcast_soon(self) -> None:
-        """Tell all others soon of a server that leaves, if this node reads for them.
+        """Make the next broadcast urgent, if this node is a reader.
 
-        Among 87 nodes the next round takes 0.9 s, and a reclaimed server may be gone
-        after 1.1 s, with all requests that it got meanwhile.
+        Called when a server leaves. With 87 nodes a regular broadcast takes 0.9 s, and
+        a reclaimed server may be gone after 1.1 s, together with the requests that it
+        got meanwhile.
         """
         if self.is_reader() and not self.every_node_reads():
             self.urgent.set()
 
     def broadcast(self, peers: list[Peer] | None = None, *, gone: bool = False) -> None:
-        """Send this node's figures to `peers`, or to all others."""
+        """Send this node's state to `peers`, or to all others.
+
+        Parameters
+        ----------
+        peers : list of Peer or None
+            ``None`` for all known nodes.
+        gone : bool
+            Whether this node has stopped and this is its last message.
+        """
         self.sequence += 1
         told = list(self.known.values()) if peers is None else peers
         self.datagrams.send(self._state_message(gone), [peer.address for peer in told])
@@ -280,7 +305,7 @@
         )
 
     def _expire_peers(self) -> None:
-        """Count who is there."""
+        """Remove nodes that have been silent for long, and update the node count."""
         now = time.monotonic()
         for address, peer in list(self.known.items()):
             if now - max(peer.heard_at, peer.added_at) > FORGET_AFTER_S:
@@ -294,10 +319,10 @@
         self.context.limits.forget_silent(now)
         self.context.set_nodes(len(self.known) + 1)
 
-    # Hearing
+    # Receiving
 
     def receive(self, message: "StateMessage", address: str) -> None:
-        """Take over what another node tells."""
+        """Apply another node's state message, unless it arrived out of order."""
         peer = self._add_peer(address)
         if peer is None:
             return
@@ -337,7 +362,7 @@
             self.known.pop(address, None)
 
     def observe_duty_log_end(self, end: int) -> None:
-        """Note how far the duties' log goes, as read or told."""
+        """Record the end of the duties log, as read or as a peer reports it."""
         if end > self.duty_log_end:
             self.duty_log_end = end
             self.duty_log_moved_at = boot_time()
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -1,8 +1,10 @@
-"""What an organisation spends, told at once to the node that adds it up.
+"""Immediate exchange of organisations' spending between gateways.
 
-It goes by UDP at a port of its own, beside the tellings: a request must not wait for
-them, nor they for it. :mod:`endive_core.counting` decides who adds up and when the
-others are told; what is lost here, the tellings make good for.
+Each node reports what it spends of a limit at once to one node, which counts that
+organisation's spending. :mod:`endive_core.counting` decides which node that is and when
+it informs the others. The messages use a UDP port of their own, so that they don't wait
+for the state messages, nor those for them. The totals in the state messages make up for
+lost reports.
 """
 
 import time
@@ -30,7 +32,7 @@
 from endive_gateway.datagrams import DatagramPort
 
 MAX_ENTRIES = 20
-"""Nodes' spending in one datagram, so that it stays within one frame of 1,500 bytes."""
+"""Most entries in one datagram, so that it fits one Ethernet frame of 1,500 bytes."""
 
 
 class NodeSpending(msgspec.Struct, array_like=True):
@@ -39,11 +41,15 @@
     Attributes
     ----------
     address : str
-        The node that spent it.
+        IP address of the node that spent it.
+    incarnation : int
+        Differs with each start of that node.
     tellings : int
-        How often that node had told all of its spending by then.
+        Number of state messages that the node had sent by then.
     age_s : float
         Seconds since that node started.
+    units : float
+        Units spent since then.
     """
 
     address: str
@@ -55,23 +61,25 @@
 
     @property
     def spender(self) -> Spender:
-        """The node as the limits know it."""
+        """The node in the form that the shared limits use."""
         return Spender(self.address, self.incarnation, self.tellings, self.age_s)
 
 
 class SpendingReport(msgspec.Struct, array_like=True, tag="notes"):
-    """What some nodes have spent."""
+    """Spending of one or more nodes."""
 
     entries: list[NodeSpending]
 
 
 class SpendRequest(msgspec.Struct, array_like=True, tag="ask"):
-    """A node's request to spend; its total holds what it asks for.
+    """A node's request for permission to spend.
 
     Attributes
     ----------
     number : int
-        Names the request in its answer.
+        Identifies the request in the reply.
+    total : NodeSpending
+        The node's spending, including what it requests.
     """
 
     number: int
@@ -79,7 +87,13 @@
 
 
 class SpendReply(msgspec.Struct, array_like=True, tag="grant"):
-    """The answer to one request to spend; 0 seconds to wait let it."""
+    """Reply to a request for permission to spend.
+
+    Attributes
+    ----------
+    wait_s : float
+        0 if the node may spend, otherwise the seconds to wait.
+    """
 
     number: int
     wait_s: float
@@ -89,14 +103,27 @@
 
 
 class SpendingExchange:
-    """Single requests' spending: noted to others, asked for, and passed on.
+    """Reports spending, requests permission to spend, and counts for other nodes.
 
     Parameters
     ----------
-    others : callable
-        Returns the addresses of the other nodes that are believed to be there.
+    peer_addresses : callable
+        Returns the addresses of the other nodes that are presumed to be live.
     tellings : callable
-        Returns how often this node has told all of its spending.
+        Returns the number of state messages that this node has sent.
+
+    Attributes
+    ----------
+    counting_cache : dict
+        By organisation, the nodes last considered and the counting node among them.
+    requests_sent : int
+        Number of requests to spend that this node has sent.
+    requested_units : Counter
+        By organisation, units for which a reply is awaited.
+    pending_replies : dict
+        Awaited replies by request number.
+    skipped_until : dict of str to float
+        By address, until when a node that didn't reply is not asked.
     """
 
     def __init__(
@@ -118,7 +145,7 @@
         self.datagrams = DatagramPort("spending", DECODER, self.handle_message)
 
     def start(self, port: int) -> None:
-        """Begin to receive, and to hear of this node's own spending."""
+        """Start receiving, and take charge of this node's own spending."""
         self.datagrams.start(self.address, port)
         self.context.take_units = self.try_spend
 
@@ -127,10 +154,10 @@
         self.datagrams.stop()
 
     def try_spend(self, terms: OrganisationTerms, units: float) -> float:
-        """Return 0 and spend `units` if a request may come, else the seconds to wait.
+        """Spend `units` and return 0 if a request is allowed, else the seconds to wait.
 
-        See :meth:`endive_core.sharing.SharedLimits.wait_s`. Among many nodes, what is
-        more than this node's part of the rest is asked for.
+        See :meth:`endive_core.sharing.SharedLimits.wait_s`. In a large fleet a node has
+        to ask the counting node for more than its even part of what is left.
         """
         limits = self.context.limits
         for _ in range(MOST_ASKED):
@@ -161,11 +188,16 @@
         return wait_s
 
     def _request(self, counter: str, organisation: str, units: float) -> float | None:
-        """Spend if the node that adds up lets it; return its answer, or ``None``.
+        """Ask the counting node for permission, and spend if it is given.
+
+        A node that doesn't reply is skipped for a while. Otherwise each request would
+        ask a node that was killed or hangs until it no longer counts as live, up to
+        three seconds, and the organisation's callers would be refused.
 
-        A node that was killed or hangs would be asked by each request in vain until it
-        is no longer listed, up to three seconds, and the organisation's callers would
-        be refused.
+        Returns
+        -------
+        float or None
+            0 if the units were spent, the seconds to wait, or ``None`` without a reply.
         """
         self.requests_sent += 1
         number, reply = self.requests_sent, AsyncResult()
@@ -187,13 +219,17 @@
         return wait_s
 
     def _skip_node(self, counter: str) -> None:
-        """Let another node add up for a while."""
+        """Use another counting node for a while."""
         now = time.monotonic()
         self.skipped_until = {n: t for n, t in self.skipped_until.items() if t > now}
         self.skipped_until[counter] = now + UNASKED_S
 
     def handle_request(self, request: SpendRequest) -> None:
-        """Let another node spend, or say when it may."""
+        """Reply to another node's request to spend.
+
+        There is no reply if the organisation is unknown, or if what the node has spent
+        so far is.
+        """
         total = request.total
         terms = self.context.terms(total.organisation)
         if terms is None or total.address == self.address:
@@ -215,7 +251,7 @@
             self._count(total.organisation, total.address, total.units - before)
 
     def report_spent(self, organisation: str, units: float) -> None:
-        """Note that this node has spent `units` more of a limit."""
+        """Report that this node has spent `units` more of a limit."""
         counter = self._counting_node(organisation)
         if counter == self.address:
             self._count(organisation, self.address, units)
@@ -223,7 +259,7 @@
             self._send(SpendingReport([self._own_entry(organisation)]), [counter])
 
     def receive_report(self, entries: list[NodeSpending]) -> None:
-        """Take over what another node notes."""
+        """Apply another node's report, and count what is new in it."""
         limits = self.context.limits
         now = time.monotonic()
         for entry in entries:
@@ -235,7 +271,10 @@
                 self._count(entry.organisation, entry.address, new)
 
     def _counting_node(self, organisation: str) -> str:
-        """Return who adds up; a hash a node is computed only when the nodes change."""
+        """Return the address of the node that counts an organisation's spending.
+
+        It is cached until the nodes change, since it takes one hash for each node.
+        """
         now = time.monotonic()
         candidates = [
             n for n in self.peer_addresses() if self.skipped_until.get(n, 0.0) <= now
@@ -248,7 +287,7 @@
         return counter
 
     def _count(self, organisation: str, address: str, units: float) -> None:
-        """Add up, and tell all others if it is time to."""
+        """Count spending, and inform all other nodes when that is due."""
         self.count.add(organisation, address, units)
         terms = self.context.terms(organisation)
         if terms is None:
@@ -264,7 +303,7 @@
             self._send(SpendingReport(entries[first : first + MAX_ENTRIES]), addresses)
 
     def _entry_of(self, organisation: str, address: str) -> NodeSpending | None:
-        """Return what is to be told of a node; nothing if it left or started anew."""
+        """Return a node's entry for a report; ``None`` if it left or restarted."""
         if address == self.address:
             return self._own_entry(organisation)
         peer = self.context.limits.peers.get(address)
@@ -295,7 +334,7 @@
     def handle_message(
         self, message: SpendingReport | SpendRequest | SpendReply, _address: str
     ) -> None:
-        """Take over what another node sent."""
+        """Handle a message from another node."""
         match message:
             case SpendingReport(entries):
                 self.receive_report(entries)
--- a/packages/endive_gateway/src/endive_gateway/tellings.py
+++ b/packages/endive_gateway/src/endive_gateway/tellings.py
@@ -1,4 +1,4 @@
-"""The datagram that gateways tell each other."""
+"""The state message that gateways send each other, and its compressed changes."""
 
 import zlib
 from collections.abc import Iterable
@@ -10,42 +10,46 @@
 
 
 class StateMessage(msgspec.Struct, array_like=True):
-    """What a node tells the others, whole figures and no changes.
+    """State of a node, in totals rather than increments except for `server_delta`.
 
     Attributes
     ----------
+    node : str
+        The sender's name.
+    incarnation : int
+        Increases with each start of the sender.
     sequence : int
-        Grows with each telling of one incarnation.
+        Increases with each message of one incarnation.
     wall_ms : int
-        The sender's time of day.
+        The sender's wall-clock time, milliseconds since the epoch.
     version : int
-        Version of the configuration in force there.
+        Version of the configuration in force at the sender; -1 if there is none.
     gone : bool
-        Whether the sender has stopped and this is its last telling.
+        Whether the sender has stopped and this is its last message.
     spent : dict of str to float
-        Units of each organisation's limit spent since the start.
+        Units of each organisation's limit spent since the sender's start.
     work : dict of str to float
-        Servers of each service kept busy.
+        Servers of each service that the sender's requests keep busy.
     windows : dict of int to dict of str to int
-        Requests begun by window and organisation.
+        Requests begun, by usage window and organisation.
     crashes : list of (str, str, float)
-        Fingerprint, server and age in seconds of crashes seen of late.
+        Fingerprint, server and age in seconds of recent crashes.
     fence : int
-        Fencing number of the duties that the sender holds; 0 if it doesn't.
+        Fencing number of the duties that the sender holds; 0 if it doesn't hold them.
     reported : int
-        Newest window of usage known to be reported.
-    news : ServerNews or None
-        What the sender read of the servers, if it reads for others.
-    duty_end : int
-        Newest end of the duties' log that the sender knows.
-    failing : dict of str to int
-        Failures that the sender met of late, by server.
+        Newest usage window known to be reported.
+    server_delta : ServerDelta or None
+        Recent changes of the servers, if the sender is a reader.
+    duty_log_end : int
+        Newest end of the duties log that the sender knows.
+    server_failures : dict of str to int
+        Recent failures that the sender has observed, by server.
     age_s : float
         Seconds since the sender started.
-    starting : dict of str to float
-        Prompt tokens by server for which the sender waits for a first token.
+    pending_prompt_tokens : dict of str to float
+        Prompt tokens for which the sender still waits for a first token, by server.
     proof_age_s : float
-        Seconds since `version` was known to be the store's newest; -1 if unknown.
+        Seconds since `version` was confirmed as the store's newest; -1 if it never was.
     """
 
     node: str
@@ -72,22 +76,30 @@
 
 CHANGES_DECODER = msgspec.msgpack.Decoder(list[tuple[int, str, bytes | None]])
 MAX_UNPACKED_BYTES = 1_000_000
-"""Largest size of unpacked changes: a datagram of zeros would else unpack to more
-memory than a node has."""
+"""Largest size of decompressed changes, bytes. Without a limit, a datagram of
+compressed zeros could decompress to more memory than a node has."""
 
 
 def pack_changes(records: Iterable[Record]) -> bytes:
-    """Return `records` compressed: twenty entries of servers take 750 bytes, not 4,500.
+    """Return `records` encoded and compressed; empty if there are none.
 
-    Uncompressed, four fitted into a telling. When a zone was reclaimed or servers were
-    ordered, each node read the store by itself, 87 of them within a second.
+    Twenty servers' entries take 750 bytes instead of 4,500. Uncompressed, only four fit
+    into a message: when a zone was reclaimed or servers were ordered, each of 87 nodes
+    then had to read the store within a second.
     """
     changes = [(record.offset, record.key, record.value) for record in records]
     return zlib.compress(msgspec.msgpack.encode(changes)) if changes else b""
 
 
 def unpack_changes(packed: bytes) -> list[Record]:
-    """Return the records in `packed`; raises UndecodableError."""
+    """Return the records in `packed`.
+
+    Raises
+    ------
+    UndecodableError
+        If the data is corrupt. Data larger than ``MAX_UNPACKED_BYTES`` is truncated, so
+        it can't be decoded either.
+    """
     if not packed:
         return []
     try:
