--- a/packages/endive_gateway/tests/server_builders.py
+++ b/packages/endive_gateway/tests/server_builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the gateway: backend servers that follow a script."""
+"""Builders for tests of the gateway: backend servers with scripted responses."""
 
 import time
 
@@ -9,7 +9,7 @@
 
 
 class ReceivedRequest:
-    """One request as a server got it."""
+    """One request as a server received it."""
 
     def __init__(self, message):
         self.method = message.method.decode()
@@ -21,8 +21,9 @@
 class ScriptedServer:
     """A backend server that follows a script, one entry for each request.
 
-    An entry is called with the socket and the request seen; one that is missing
-    answers ``ok``.
+    An entry is called with the socket and the received request. After the last entry
+    every request is answered with ``ok``. An entry that returns False ends the
+    connection.
     """
 
     def __init__(self, *script, server_id="i-1"):
@@ -64,7 +65,7 @@
 
 
 def answer(status=200, body=b"fine", *, signed=True, extra="", request_id=None):
-    """Return a script entry that answers with a length."""
+    """Return a script entry that sends a response with a ``Content-Length``."""
 
     def send(sock, seen):
         sock.sendall(encoded(seen, status, body, signed, extra, request_id))
@@ -73,7 +74,7 @@
 
 
 def encoded(seen, status=200, body=b"fine", signed=True, extra="", request_id=None):
-    """Return the bytes of an answer."""
+    """Return the bytes of a response."""
     signature = "Signed: yes\r\n" if signed else ""
     request_id = request_id or seen.headers["id"]
     head = (
@@ -90,13 +91,13 @@
 
 
 def reset(sock, _seen):
-    """Close without a word, as a crash does."""
+    """Close the connection without a response, as a crash does."""
     sock.close()
     return False
 
 
 def raw(data, *, close=False):
-    """Return a script entry that sends bytes as they are; ``%ID`` is the request's."""
+    """Return a script entry that sends `data`, with the request's id for ``%ID``."""
 
     def send(sock, seen):
         sock.sendall(data.replace(b"%ID", seen.headers["id"].encode()))
@@ -106,7 +107,10 @@
 
 
 def events(first, last, *, cut=b"", end=True, gap_s=0.0):
-    """Return a script entry that streams events with ids from `first` to `last`."""
+    """Return a script entry that streams events with ids from `first` to `last`.
+
+    `cut` is sent after them. Without `end` the connection closes inside the body.
+    """
 
     def send(sock, seen):
         head = (
@@ -128,15 +132,15 @@
 
 
 def event(number):
-    """Return the bytes of one event."""
+    """Return the bytes of one server-sent event."""
     return b"id: %d\ndata: t%d\n\n" % (number, number)
 
 
 def chunk(data):
-    """Return one chunk."""
+    """Return `data` in chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def silent(_sock, _seen):
-    """Never answer."""
+    """Send no response within 30 s."""
     gevent.sleep(30)
--- a/packages/endive_gateway/tests/store_builders.py
+++ b/packages/endive_gateway/tests/store_builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the gateway: a store and a cloud in memory."""
+"""Builders for tests of the gateway: an in-memory store and a recording cloud."""
 
 import json
 from collections import defaultdict
@@ -15,14 +15,18 @@
 
 
 class MemoryStore:
-    """The platform's store, with faults to order.
+    """An in-memory store with fault injection.
 
     Attributes
     ----------
+    kept_from : dict of Topic to int
+        Oldest offset retained in each topic.
     fault : callable or None
-        Called with the name of each call; may raise what the call then raises.
+        Called with the name of each call; an exception that it raises fails the call.
     lost : list
-        Appends are done and their answers lost while it holds entries.
+        For each entry one append is done although its answer is lost.
+    calls : list of str
+        Names of the calls so far.
     """
 
     def __init__(self):
@@ -81,7 +85,7 @@
 
 
 class NonReader:
-    """Readers among which a node is not."""
+    """Readers as a node of a large fleet sees them that isn't a reader itself."""
 
     def is_reader(self):
         return False
@@ -103,7 +107,7 @@
 
 
 class RecordingCloud:
-    """The platform's calls, recorded."""
+    """A cloud that records its calls."""
 
     def __init__(self):
         self.usage = []
--- a/packages/endive_gateway/tests/test_configuration_follower.py
+++ b/packages/endive_gateway/tests/test_configuration_follower.py
@@ -30,10 +30,10 @@
     assert context.version == 7
 
 
-def test_a_read_that_returns_nothing_can_be_told_from_one_that_waits(
+def test_a_read_that_returns_nothing_is_distinguishable_from_one_that_waits(
     context, store, monkeypatch
 ):
-    """Both leave the configuration as it is."""
+    """Neither changes the configuration, so the log and the metrics must differ."""
     lines = []
     monkeypatch.setattr(
         following, "log_event", lambda event, **about: lines.append((event, about))
@@ -53,8 +53,8 @@
 
 
 def test_no_path_brings_an_older_version_back(context, store):
-    """A node has a version from another node, then reads the store, which is behind.
-    A key that was taken away would be valid again."""
+    """A node that has a newer version from a peer reads an older one from the store. If
+    it applied that, a revoked key would be valid again."""
     follower = ConfigurationFollower(context)
     write(store, Topic.CONFIGURATION, "config", 9)
     follower.step()
@@ -73,9 +73,9 @@
     assert context.version == 9
 
 
-def test_a_forgotten_history_is_read_as_a_whole(context, store):
-    """The store drops its records while a node waits for the next one. A node that
-    only went on reading would miss the change that was among them."""
+def test_records_that_the_store_dropped_lead_to_a_full_read(context, store):
+    """The store drops records that a node has not read yet. A node that only continued
+    to read from the oldest retained one could miss a change."""
     follower = ConfigurationFollower(context)
     write(store, Topic.CONFIGURATION, "config", 1)
     follower.step()
@@ -87,7 +87,7 @@
     assert context.version == 3
 
 
-def test_the_last_configuration_stays_while_the_store_is_away(context, store):
+def test_the_last_configuration_stays_while_the_store_is_unavailable(context, store):
     follower = ConfigurationFollower(context)
     write(store, Topic.CONFIGURATION, "config", 1)
     follower.step()
@@ -98,9 +98,9 @@
     assert gaps[-1] > gaps[0]
 
 
-def test_a_configuration_from_another_node_is_not_read_again(context, store):
-    """After a power loss a node has the configuration from another one. Reading it from
-    the store all the same would fill its slow link while callers come back."""
+def test_a_configuration_from_a_peer_is_not_read_from_the_store(context, store):
+    """After a power loss a node has the configuration from a peer. Reading it from the
+    store as well would occupy its slow link while callers reconnect."""
     write(store, Topic.CONFIGURATION, "config", 3)
     follower = ConfigurationFollower(context, NonReader())
     context.configure(make_table(version=3), b"3", "b")
@@ -110,8 +110,8 @@
     assert not reads
 
 
-class DeafStore(MemoryStore):
-    """Never answers a read that waits, and all others."""
+class NoLongPollStore(MemoryStore):
+    """Answers every read except long polls."""
 
     def __init__(self):
         super().__init__()
@@ -125,14 +125,14 @@
         return super().read(topic, start)
 
 
-def overdue(follower):
-    """Let the last proof be as old as the bound."""
+def make_overdue(follower):
+    """Make the last proof as old as the bound."""
     follower.freshness.proven_at = boot_time() - follower.freshness.bound_s
 
 
-def test_a_change_is_found_though_no_waiting_read_is_answered(monkeypatch):
-    """The store may fall silent while a node waits for a change, and stay so to it."""
-    store = DeafStore()
+def test_a_change_is_found_though_no_long_poll_is_answered(monkeypatch):
+    """The store may stop answering long polls while it answers other reads."""
+    store = NoLongPollStore()
     write(store, Topic.CONFIGURATION, "config", 3)
     context = make_context(store=store, bounds=Bounds(config_s=0.2))
     running = gevent.spawn(ConfigurationFollower(context).run)
@@ -148,8 +148,8 @@
         running.kill()
 
 
-def test_a_waiting_read_that_missed_a_change_is_begun_anew(context):
-    """Another node told of the change; this one's own read had been lost."""
+def test_a_long_poll_that_missed_a_change_is_restarted(context):
+    """A peer sent the change, so the node's own long poll must have been lost."""
     follower = ConfigurationFollower(context)
     context.configure(make_table(version=3), b"3", "store")
     follower.on_applied(None)
@@ -167,58 +167,59 @@
     follower.long_poll.kill()
 
 
-def test_a_node_does_not_ask_for_what_others_know(context, store):
+def test_a_node_does_not_read_what_a_peer_has_confirmed(context, store):
     follower = ConfigurationFollower(context, NonReader())
     write(store, Topic.CONFIGURATION, "config", 3)
     context.configure(make_table(version=3), b"3", "b")
-    overdue(follower)
+    make_overdue(follower)
     follower.observe_peer_proof(3, 0.1)
     assert follower.check() > 0
     assert store.calls == []
 
 
-def test_a_proof_of_a_newer_version_says_nothing_of_an_older_one(context, store):
-    """A node that took it so would go on with the old one for as long."""
+def test_a_proof_of_a_newer_version_does_not_confirm_an_older_one(context, store):
+    """A node that counted it as one would keep the old version for longer."""
     follower = ConfigurationFollower(context, NonReader())
     write(store, Topic.CONFIGURATION, "config", 4)
     context.configure(make_table(version=3), b"3", "b")
-    overdue(follower)
+    make_overdue(follower)
     follower.observe_peer_proof(4, 0.1)
     follower.check()
     assert context.version == 4
 
 
-def test_a_node_that_is_told_reads_by_itself_once_nothing_is_proven(context, store):
-    """Readers that know of the servers may know nothing of the configuration."""
+def test_a_node_reads_the_store_itself_when_peers_have_no_proof(context, store):
+    """Readers that relay the servers may have no proof for the configuration."""
     follower = ConfigurationFollower(context, NonReader())
     write(store, Topic.CONFIGURATION, "config", 4)
     context.configure(make_table(version=3), b"3", "b")
-    overdue(follower)
+    make_overdue(follower)
     follower.observe_peer_proof(3, -1.0)
     follower.check()
     assert context.version == 4
 
 
-def test_a_check_that_fails_is_repeated_before_the_bound(context, store):
+def test_a_failed_check_is_repeated_before_the_bound(context, store):
     follower = ConfigurationFollower(context)
     context.configure(make_table(version=3), b"3", "b")
     store.fault = store_down
-    overdue(follower)
+    make_overdue(follower)
     assert all(follower.check() <= MAX_READ_BACKOFF_S for _ in range(6))
     assert follower.unavailable_since is not None
 
 
-def test_among_many_nodes_a_check_that_fails_waits_for_its_turn(context, store):
-    """A store that comes back is not met by all nodes at once."""
+def test_in_a_large_fleet_a_failed_check_is_repeated_later(context, store):
+    """So that not all nodes call a store at once when it is available again."""
     follower = ConfigurationFollower(context, NonReader())
     context.configure(make_table(version=3), b"3", "b")
     store.fault = store_down
-    overdue(follower)
+    make_overdue(follower)
     assert follower.check() > MAX_READ_BACKOFF_S
 
 
 def test_a_check_that_failed_does_not_outlast_the_stores_return(store):
-    """Among many nodes the first to ask sleeps on, though another got an answer."""
+    """In a large fleet the first node to check still sleeps after a failed check,
+    although a peer has got an answer meanwhile."""
     context = make_context(store=store, bounds=Bounds(config_s=0.3))
     write(store, Topic.CONFIGURATION, "config", 3)
     context.configure(make_table(version=3), b"3", "b")
--- a/packages/endive_gateway/tests/test_documents.py
+++ b/packages/endive_gateway/tests/test_documents.py
@@ -40,10 +40,10 @@
     return time.monotonic() - started
 
 
-def test_a_node_that_can_serve_is_found_behind_one_that_cannot(serving):
-    """After a power loss all nodes hear first of the same one that has the
-    configuration, and its link is full. A node that waits for it turns its callers
-    away a second longer than one that asks another."""
+def test_another_source_is_tried_after_one_that_fails(serving):
+    """After a power loss all nodes first hear of the same source, whose link is
+    saturated. A node that waits for it refuses its callers for a second longer than one
+    that tries another source."""
     silent = StreamServer(("127.0.0.2", PORT), lambda sock, _address: sock.close())
     silent.start()
     context = make_context()
@@ -55,9 +55,9 @@
     assert taken_s < 0.6
 
 
-def test_a_busy_node_turns_others_away_at_once(serving):
-    """Forty nodes ask one at the same time. Were all served, each would get a fortieth
-    of its link, and none would have the configuration within a second."""
+def test_a_busy_node_refuses_at_once(serving):
+    """Forty nodes pull from one at the same time. If all were served, each would get a
+    fortieth of its link, and none would have the configuration within a second."""
     serving.active_sends = MAX_CONCURRENT_SENDS
     started = time.monotonic()
     with pytest.raises(OSError):
@@ -67,9 +67,9 @@
     assert receive_document("127.0.0.1", PORT) == b"9"
 
 
-def test_a_caller_that_does_not_read_frees_its_place(serving):
-    """Nodes ask and lose power. Were their places kept, a few of them would keep all
-    others from the configuration."""
+def test_a_closed_connection_frees_its_slot(serving):
+    """Nodes lose power while they pull. If their slots stayed occupied, a few such
+    nodes would keep all others from the configuration."""
     socks = [
         gsocket.create_connection(("127.0.0.1", PORT))
         for _ in range(MAX_CONCURRENT_SENDS)
--- a/packages/endive_gateway/tests/test_duties.py
+++ b/packages/endive_gateway/tests/test_duties.py
@@ -16,7 +16,7 @@
 
 
 class Clock:
-    """Both clocks of the duties, moved by a test."""
+    """The boot clock and the monotonic clock of the duties, advanced by a test."""
 
     def __init__(self):
         self.time = time.monotonic()
@@ -35,7 +35,7 @@
 
 
 class Node:
-    """One node's duties over a shared store and cloud."""
+    """One node's duties with a shared store and cloud."""
 
     def __init__(self, name, store, cloud):
         self.context = make_context(make_table(), store=store, cloud=cloud, node=name)
@@ -76,7 +76,7 @@
         node.context.meter.begin(organisation, window * WINDOW_S + 1)
 
 
-def test_one_of_two_claimants_holds(clock, store, cloud):
+def test_one_of_two_claimants_becomes_the_holder(clock, store, cloud):
     first, second = Node("a", store, cloud), Node("b", store, cloud)
     first.step()
     second.step()
@@ -84,8 +84,8 @@
     assert not second.holds
 
 
-def test_a_dead_holder_is_replaced_and_never_beside_itself(clock, store, cloud):
-    """The holder freezes for longer than its lease and wakes up. It must not act any
+def test_an_expired_holder_is_replaced_and_does_not_act_again(clock, store, cloud):
+    """A holder is suspended for longer than its lease and resumes. It must not act any
     more, and the fencing number of its successor is higher."""
     first, second = Node("a", store, cloud), Node("b", store, cloud)
     first.step()
@@ -110,7 +110,7 @@
     assert len(store.topics[Topic.DUTIES]) < 20
 
 
-def test_a_release_hands_over_at_once(clock, store, cloud):
+def test_after_a_release_another_node_claims_at_once(clock, store, cloud):
     first, second = Node("a", store, cloud), Node("b", store, cloud)
     first.step()
     first.duties.release()
@@ -119,7 +119,7 @@
     assert second.holds
 
 
-def test_a_node_that_hears_a_holder_does_not_ask_the_store(clock, store, cloud):
+def test_a_node_with_a_live_holder_does_not_call_the_store(clock, store, cloud):
     node = Node("a", store, cloud)
     peer = node.peers._add_peer("127.0.0.9")
     peer.heard_at, peer.fence, peer.node = time.monotonic(), 4, "b"
@@ -127,10 +127,12 @@
     assert not store.calls
 
 
-def test_a_holder_that_the_store_turns_away_is_succeeded_at_once(clock, store, cloud):
-    """The holder can't renew, and every other node still hears that it holds. A
-    successor that only begins to wait when it no longer does leaves a reclaimed zone's
-    servers unordered for three seconds more."""
+def test_a_holder_that_the_store_rejects_is_replaced_after_its_lease(
+    clock, store, cloud
+):
+    """The holder can't renew, but still reports to all nodes that it holds the duties.
+    If a successor started to wait only when that ends, replacements for a reclaimed
+    zone's servers would be ordered three seconds later."""
     first, second = Node("a", store, cloud), Node("b", store, cloud)
     first.step()
     second.peers.observe_duty_log_end(first.duties.log.end)
@@ -147,7 +149,7 @@
     assert not first.holds
 
 
-def test_who_runs_for_longer_goes_first(clock, store, cloud):
+def test_the_node_that_has_run_for_longest_claims_first(clock, store, cloud):
     node = Node("a", store, cloud)
     peer = node.peers._add_peer("127.0.0.9")
     peer.heard_at, peer.node, peer.incarnation = clock.time, "b", 1
@@ -204,9 +206,10 @@
     assert [counts for _, _, _, counts in ours] == [{"o": 5, "p": 1}]
 
 
-def test_a_successor_repeats_exactly_what_was_recorded(clock, store, cloud):
-    """A holder records a window, sends it and dies before it hears the answer. The
-    successor counts more by then; if it sent that, the platform would get two."""
+def test_a_successor_reports_exactly_what_was_recorded(clock, store, cloud):
+    """A holder records a window, reports it and dies before the answer. The successor
+    has counted more by then; if it reported that, the platform would get two different
+    reports."""
     first, second = Node("a", store, cloud), Node("b", store, cloud)
     window = int(WALL // WINDOW_S)
     begin(first, window, 3)
@@ -226,7 +229,7 @@
     assert holders == {"a", "b"}
 
 
-def test_a_report_that_failed_is_tried_again_with_the_same_counts(clock, store, cloud):
+def test_a_failed_report_is_retried_with_the_same_counts(clock, store, cloud):
     node = Node("a", store, cloud)
     window = int(WALL // WINDOW_S)
     begin(node, window, 3)
@@ -242,9 +245,11 @@
     assert [c for _, _, w, c in cloud.usage if w == window] == [{"o": 3}]
 
 
-def test_a_window_another_node_told_of_is_not_decided_again(clock, store, cloud):
-    """The store forgot its history, and with it what was reported. The nodes told each
-    other, and a successor reports nothing that they know of."""
+def test_a_window_that_a_peer_knows_as_reported_is_not_recorded_again(
+    clock, store, cloud
+):
+    """The store has dropped the records that show what was reported. The nodes know it
+    from each other's messages, and a successor doesn't report it again."""
     node = Node("a", store, cloud)
     window = int(WALL // WINDOW_S)
     begin(node, window, 3)
@@ -255,7 +260,9 @@
     assert not [report for report in cloud.usage if report[2] <= window]
 
 
-def test_a_node_that_just_started_leaves_older_windows_alone(clock, store, cloud):
+def test_a_node_that_has_just_started_does_not_report_older_windows(
+    clock, store, cloud
+):
     node = Node("a", store, cloud)
     node.context.started_at = clock.time
     node.step()
--- a/packages/endive_gateway/tests/test_following.py
+++ b/packages/endive_gateway/tests/test_following.py
@@ -27,7 +27,7 @@
     return {"service": "s", "address": "127.0.0.1:1", "zone": "z", "slots": 8} | options
 
 
-def test_servers_come_and_go(context, store):
+def test_servers_are_added_and_removed(context, store):
     follower = ServerFollower(context)
     write(store, Topic.SERVERS, "i-1", server())
     follower.step()
@@ -37,8 +37,8 @@
     assert context.registry.get("i-1") is None
 
 
-def test_an_entry_of_another_writer_names_no_server_and_hides_none(context, store):
-    """Something else writes broken entries, also under a live server's id."""
+def test_an_invalid_entry_adds_and_removes_no_server(context, store):
+    """Another writer writes invalid entries, also under a live server's id."""
     follower = ServerFollower(context)
     write(store, Topic.SERVERS, "i-1", server())
     follower.step()
@@ -49,7 +49,7 @@
     assert set(context.registry.servers) == {"i-1", "i-3"}
 
 
-def test_servers_missing_after_an_outage_get_their_grace(context, store):
+def test_servers_missing_after_an_outage_get_a_grace_period(context, store):
     follower = ServerFollower(context)
     write(store, Topic.SERVERS, "i-1", server())
     follower.step()
@@ -61,7 +61,7 @@
     assert context.registry.get("i-1").usable
 
 
-def test_servers_missing_from_the_whole_list_are_gone(context, store):
+def test_servers_missing_from_a_full_read_are_dropped(context, store):
     follower = ServerFollower(context)
     write(store, Topic.SERVERS, "i-1", server())
     follower.step()
@@ -73,8 +73,8 @@
     assert set(context.registry.servers) == {"i-2"}
 
 
-def told(store):
-    """Return a reader and a node that is told, both knowing one server."""
+def make_reader_and_listener(store):
+    """Return a reader and a node that it relays to; both know one server."""
     write(store, Topic.SERVERS, "i-1", server(sequence=1))
     reader = ServerFollower(make_context(store=store))
     listener = ServerFollower(make_context(store=store), NonReader())
@@ -83,8 +83,8 @@
     return reader, listener
 
 
-def test_a_node_that_is_told_need_not_read(store):
-    reader, listener = told(store)
+def test_relayed_changes_replace_reads(store):
+    reader, listener = make_reader_and_listener(store)
     listener.apply_delta(reader.server_delta())
     calls = len(store.calls)
     write(store, Topic.SERVERS, "i-2", server(sequence=1))
@@ -97,10 +97,10 @@
     assert not listener.context.registry.get("i-1").usable
 
 
-def test_news_that_do_not_join_what_is_known_are_left_to_an_own_read(store):
-    """A node missed several tellings in a row. Taking the next ones as they are, it
-    would never hear of the server that began to leave in between."""
-    reader, listener = told(store)
+def test_changes_after_a_gap_lead_to_a_read(store):
+    """A node missed several messages in a row. If it applied the next one, it would
+    never learn of the server that began to leave in between."""
+    reader, listener = make_reader_and_listener(store)
     listener.apply_delta(reader.server_delta())
     write(store, Topic.SERVERS, "i-1", server(sequence=2, state="leaving"))
     reader.step()
@@ -115,10 +115,11 @@
     assert not listener.context.registry.get("i-1").usable
 
 
-def test_changes_that_fit_no_datagram_make_the_others_read_at_once(store):
-    """A zone is reclaimed, and more servers begin to leave than a telling has room for.
-    A node that waited for news it can join sent them requests for 2.1 seconds."""
-    reader, listener = told(store)
+def test_changes_too_large_for_a_datagram_lead_to_a_read_at_once(store):
+    """A zone is reclaimed, and more servers begin to leave than fit into a message. A
+    node that waited for changes that continue from its offset sent them requests for
+    2.1 s."""
+    reader, listener = make_reader_and_listener(store)
     listener.apply_delta(reader.server_delta())
     for number in range(30):
         write(store, Topic.SERVERS, f"i-{number + 10}", server(sequence=1))
@@ -129,8 +130,8 @@
     assert not listener.context.registry.get("i-1").usable
 
 
-def test_a_node_reads_by_itself_when_its_readers_lose_the_store(store):
-    reader, listener = told(store)
+def test_a_node_reads_the_store_itself_when_its_readers_can_not(store):
+    reader, listener = make_reader_and_listener(store)
     listener.apply_delta(reader.server_delta())
     store.fault = store_down
     reader.step()
@@ -149,8 +150,8 @@
         write(store, Topic.SERVERS, server_id, entry)
 
 
-def test_more_changes_than_a_datagram_holds_are_not_told(store):
-    reader, listener = told(store)
+def test_changes_too_large_for_a_datagram_are_not_relayed(store):
+    reader, listener = make_reader_and_listener(store)
     add_servers(store, 60)
     reader.step()
     server_delta = reader.server_delta()
@@ -158,10 +159,10 @@
     assert not server_delta.changes
 
 
-def test_changes_that_did_not_fit_are_read_once(store):
-    """Sixty servers start, more than a telling holds. Each node reads them once; were
-    they missing from all tellings of the next seconds, each would read five times."""
-    reader, listener = told(store)
+def test_changes_that_were_not_relayed_are_read_once(store):
+    """Sixty servers start, more than fit into a message. Each node reads them once. If
+    the gap stayed in all messages of the next seconds, each would read five times."""
+    reader, listener = make_reader_and_listener(store)
     listener.apply_delta(reader.server_delta())
     add_servers(store, 60)
     reader.step()
@@ -173,11 +174,12 @@
     assert len(listener.context.registry.servers) == 61
 
 
-def test_what_did_not_fit_is_not_told_as_known_later(store, monkeypatch):
-    """Sixty servers start, more than a telling holds, and the history's end passes an
-    older moment. Were the tellings then to begin before the sixty, without them, a node
-    would take itself to know all, and leave its callers to the few it has."""
-    reader, listener = told(store)
+def test_changes_that_were_not_relayed_are_not_skipped_later(store, monkeypatch):
+    """Sixty servers start, more than fit into a message, while an older checkpoint
+    expires. If later messages then claimed to cover the offsets of the sixty without
+    containing them, a node would count itself as up to date and send all requests to
+    the few servers that it knows."""
+    reader, listener = make_reader_and_listener(store)
     listener.apply_delta(reader.server_delta())
     add_servers(store, 60)
     reader.step()
@@ -188,10 +190,10 @@
     assert len(listener.context.registry.servers) == 61
 
 
-def test_the_servers_of_a_zone_fit_into_one_telling(store):
-    """Fifteen servers are reclaimed at once. Each node is told of all of them, and need
-    not read the store."""
-    reader, listener = told(store)
+def test_the_servers_of_a_zone_fit_into_one_message(store):
+    """Fifteen servers are reclaimed at once. The changes fit into one message, so that
+    the other nodes need not read the store."""
+    reader, listener = make_reader_and_listener(store)
     listener.apply_delta(reader.server_delta())
     add_servers(store, 15)
     reader.step()
@@ -203,16 +205,17 @@
 
 
 @pytest.mark.parametrize("packed", [b"x", zlib.compress(b"x"), zlib.compress(b"")])
-def test_news_that_can_not_be_read_lead_to_an_own_read(store, packed):
-    reader, listener = told(store)
+def test_undecodable_changes_lead_to_a_read(store, packed):
+    reader, listener = make_reader_and_listener(store)
     listener.apply_delta(ServerDelta(0, 99, packed))
     assert not listener.is_relayed()
     assert listener.next_offset == reader.next_offset
 
 
-def test_a_reader_that_sees_a_server_leave_tells_the_others_at_once(store):
-    """A server is gone 1.1 s after its notice. Told with the next round, up to 0.9 s
-    later, the others would send it requests that it takes along."""
+def test_a_reader_that_sees_a_server_leave_broadcasts_at_once(store):
+    """A server is gone 1.1 s after its notice. If the others learned of it with the
+    next regular broadcast, up to 0.9 s later, the requests that they send it until then
+    would be lost with it."""
     readers = NonReader()
     reader = ServerFollower(make_context(store=store), readers)
     write(store, Topic.SERVERS, "i-1", server(sequence=1))
--- a/packages/endive_gateway/tests/test_gateway.py
+++ b/packages/endive_gateway/tests/test_gateway.py
@@ -17,30 +17,30 @@
     made.readiness.stop(0)
 
 
-def ask(gateway):
+def probe(gateway):
     caller = Caller(gateway.readiness.server_port)
     caller.raw(b"GET /any HTTP/1.1\r\nHost: x\r\n\r\n")
     return caller.receive().status
 
 
-def test_a_node_is_ready_once_it_knows_routes_and_servers(gateway):
-    assert ask(gateway) == 503
+def test_a_node_is_ready_once_it_has_routes_and_servers(gateway):
+    assert probe(gateway) == 503
     gateway.context.configure(make_table(), b"", "test")
-    assert ask(gateway) == 503
+    assert probe(gateway) == 503
     gateway.context.registry.known_once = True
-    assert ask(gateway) == 200
+    assert probe(gateway) == 200
 
 
 def test_a_stopping_node_is_not_ready_at_once(gateway):
     gateway.context.configure(make_table(), b"", "test")
     gateway.context.registry.known_once = True
     gateway.stopping_at = 1.0
-    assert ask(gateway) == 503
+    assert probe(gateway) == 503
 
 
-def test_changed_bounds_are_taken_over_and_addresses_kept(gateway):
-    """The platform writes the settings file anew while the node runs, with or without
-    a signal. The node goes on; what it can't change without a new start it keeps."""
+def test_changed_bounds_are_applied_and_addresses_kept(gateway):
+    """The platform rewrites the settings file while the node runs, with or without a
+    signal. The node keeps running, and keeps what only a restart can change."""
     moved = replace(PLACE, caller_port=9999)
     gateway.reload(GatewaySettings(moved, Bounds(grace_s=20)))
     assert gateway.settings.place == PLACE
--- a/packages/endive_gateway/tests/test_listing.py
+++ b/packages/endive_gateway/tests/test_listing.py
@@ -11,7 +11,7 @@
 
 
 class SilentStore(MemoryStore):
-    """Never answers a call that began while it was silent."""
+    """Never answers a call that started while `silent` was set."""
 
     silent = True
 
@@ -23,7 +23,7 @@
 
 
 def test_a_node_knows_the_others_as_soon_as_the_store_answers_it():
-    """Until then it lets through the whole of every limit, beside the others."""
+    """Until it knows the others it admits the whole of every rate limit by itself."""
     store = SilentStore()
     store.silent = False
     store.put(Topic.NODES, "n2", b'{"address":"127.0.0.2","incarnation":1}')
--- a/packages/endive_gateway/tests/test_ordering.py
+++ b/packages/endive_gateway/tests/test_ordering.py
@@ -16,7 +16,7 @@
 
 
 class Fleet:
-    """Orders of one holder against a cloud that starts servers at once."""
+    """The autoscaler of one holder, with a cloud that accepts orders at once."""
 
     def __init__(self):
         self.cloud = RecordingCloud()
@@ -51,7 +51,10 @@
                 self.context.registry.put(leaving)
 
     def run_for(self, seconds, work=1.0):
-        """Step for `seconds`; return the orders given, newest by pool."""
+        """Step for `seconds` at a load of `work` servers; return new orders by pool.
+
+        Only the newest order of each pool is returned.
+        """
         before = len(self.cloud.orders)
         end = self.now + seconds
         while self.now < end:
@@ -70,9 +73,9 @@
     return Fleet()
 
 
-def test_nothing_is_given_back_before_the_servers_have_registered(fleet):
-    """A holder that has just started sees the first two servers of nine. Sized by
-    them, the service would shrink before the first request comes."""
+def test_nothing_is_released_before_the_servers_have_registered(fleet):
+    """A holder that has just started sees the first two of nine servers. If it sized
+    the service by them, the service would shrink before the first request."""
     fleet.add("a", 2, reclaimable=False)
     orders = fleet.run_for(LIST_SETTLE_S - 0.5, work=0.0)
     assert all(reclaimable for _, reclaimable in orders)
@@ -81,16 +84,16 @@
 
 def test_reclaimable_servers_are_ordered_at_once_and_more_as_more_register(fleet):
     """On-demand servers run at the start, at five times the price, until reclaimable
-    ones are there. Each second before those are ordered is paid for."""
+    ones replace them. Each second before those are ordered costs money."""
     fleet.add("a", 2, reclaimable=False)
     assert fleet.run_for(0.25, work=0.0) == {(zone, True): 2 for zone in "abc"}
     fleet.add("b", 2, reclaimable=False)
     assert fleet.run_for(0.25, work=0.0) == {(zone, True): 4 for zone in "abc"}
 
 
-def test_an_order_whose_servers_do_not_come_is_sent_again(fleet):
-    """The cloud took an order and forgot half of it. Sent again only after a quarter of
-    a minute, callers would meet half of the servers until then."""
+def test_an_order_whose_servers_do_not_appear_is_sent_again(fleet):
+    """The cloud accepted an order and lost half of it. If it were sent again only after
+    15 s, half of the servers would be missing until then."""
     for zone in "abc":
         fleet.add(zone, 2)
     assert fleet.run_for(1.0, work=3.0)[("a", True)] == 4
@@ -118,9 +121,9 @@
     return sum(count for (_, reclaimable), count in orders.items() if not reclaimable)
 
 
-def test_a_reclaimed_zone_is_made_up_at_once_and_given_back_later(fleet):
-    """A zone's servers are taken and the cloud has no others of the kind. If the last
-    zones go too before it has, callers must meet some server."""
+def test_a_reclaimed_zone_is_replaced_at_once_and_released_later(fleet):
+    """A zone's servers are reclaimed and the cloud has no other reclaimable ones. If
+    the other zones are reclaimed too, some server must still be running."""
     for zone in "abc":
         fleet.add(zone, 2)
     fleet.run_for(10.0)
@@ -132,10 +135,10 @@
     assert on_demand(fleet.run_for(30.0)) == 0
 
 
-def test_a_holder_that_takes_over_in_a_reclaim_covers_most_of_the_load(fleet):
-    """The holder dies, and a zone gets its notice before the next one acts. It never
-    saw that zone's servers ready; taken for a zone that has none, the loss of the
-    others would leave callers without a server."""
+def test_a_new_holder_during_a_reclaim_covers_most_of_the_load(fleet):
+    """The holder dies, and a zone gets its reclaim notice before the next holder acts.
+    That node never saw the zone's servers ready. If it counted the zone as one without
+    servers, losing the other zones would leave callers without any server."""
     for zone in "abc":
         fleet.add(zone, 2)
     fleet.reclaim("b")
@@ -145,7 +148,7 @@
     assert on_demand(fleet.run_for(0.5, work=2.5)) == 2
 
 
-def test_a_pool_that_refused_is_asked_again_with_growing_pauses(fleet):
+def test_refused_orders_are_retried_with_backoff(fleet):
     fleet.cloud.empty = {"a", "b", "c"}
     asked = []
     order = fleet.cloud.order
@@ -162,7 +165,7 @@
     assert gaps == sorted(gaps)
 
 
-def test_servers_are_given_back_only_after_a_while(fleet):
+def test_servers_are_released_only_after_a_delay(fleet):
     for zone in "abc":
         fleet.add(zone, 2)
     fleet.run_for(12.0, work=3.0)
@@ -173,24 +176,24 @@
     assert any(reclaimable for _, reclaimable in late)
 
 
-def test_no_order_is_begun_without_enough_lease(fleet):
-    """A holder's lease ends while its order is on the way, and the successor has given
-    another one. The platform would see the older holder last."""
+def test_no_order_is_sent_without_enough_lease(fleet):
+    """A holder's lease ends while its order is on the way, and the successor has sent
+    another one. The platform would receive the older holder's order last."""
     fleet.lease.until = fleet.now + 0.1
     fleet.run_for(0.2)
     assert not fleet.cloud.orders
 
 
-def test_a_cloud_that_is_down_is_asked_again(fleet):
+def test_orders_are_retried_while_the_cloud_is_down(fleet):
     fleet.cloud.down = True
     fleet.run_for(3.0)
     fleet.cloud.down = False
     assert fleet.run_for(2.0)
 
 
-def test_a_holder_that_just_started_does_not_shrink_the_service(fleet):
-    """All nodes lost power and start again. The new holder has measured no load yet; if
-    it gave servers back, the returning callers would meet half of them."""
+def test_a_holder_that_has_just_started_does_not_shrink_the_service(fleet):
+    """All nodes lost power and restart. The new holder has measured no load yet; if it
+    released servers, only half of them would be left when the callers reconnect."""
     for zone in "abc":
         fleet.add(zone, 3)
     fleet.autoscaler.begin_tenure(fleet.now)
@@ -198,9 +201,9 @@
     assert all(count >= 3 for (_, spot), count in orders.items() if spot)
 
 
-def test_a_slow_cloud_does_not_carry_orders_past_the_lease(fleet):
-    """Each call to the cloud takes half a second. Checked only before the first, the
-    later orders of one round would go out when the successor holds the duties."""
+def test_no_order_is_sent_after_the_lease_when_the_cloud_is_slow(fleet):
+    """Each call to the cloud takes half a second. If the lease were checked only before
+    the first, later orders of a step would be sent when a successor is the holder."""
     given = []
 
     def slow(holder, fence, order):
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -38,19 +38,21 @@
     return Peers(make_context(make_table()))
 
 
-def test_a_telling_comes_back_from_its_bytes():
+def test_a_state_message_survives_encoding():
     assert DECODER.decode(msgspec.msgpack.encode(state_message())) == state_message()
 
 
-def test_a_telling_fits_one_datagram():
-    """A datagram over one frame is lost whole with any of its pieces."""
+def test_a_state_message_fits_one_datagram():
+    """A datagram larger than one frame is lost if any of its fragments is."""
     organisations = {f"organisation-{n}": 123456.789 for n in range(8)}
     counts = dict.fromkeys(organisations, 1000)
-    told = state_message(spent=organisations, windows=dict.fromkeys((1, 2, 3), counts))
-    assert len(msgspec.msgpack.encode(told)) < 1400
+    receivers = state_message(
+        spent=organisations, windows=dict.fromkeys((1, 2, 3), counts)
+    )
+    assert len(msgspec.msgpack.encode(receivers)) < 1400
 
 
-def test_what_a_peer_tells_is_taken_over(peers):
+def test_a_peers_state_is_applied(peers):
     peers.receive(state_message(), "127.0.0.2")
     context = peers.context
     assert context.meter.total(7) == {"o": 3}
@@ -59,7 +61,7 @@
     assert [peer.node for peer in peers.live()] == ["b"]
 
 
-def test_a_telling_that_was_overtaken_is_dropped(peers):
+def test_a_state_message_that_arrives_out_of_order_is_dropped(peers):
     peers.receive(state_message(sequence=5, fence=3), "127.0.0.2")
     peers.receive(state_message(sequence=4, fence=0), "127.0.0.2")
     assert peers.known["127.0.0.2"].fence == 3
@@ -67,16 +69,17 @@
     assert peers.known["127.0.0.2"].fence == 0
 
 
-def test_a_peer_that_stopped_is_forgotten_at_once(peers):
+def test_a_peer_that_stopped_is_removed_at_once(peers):
     peers.receive(state_message(), "127.0.0.2")
     peers.receive(state_message(sequence=2, gone=True), "127.0.0.2")
     assert not peers.known
     assert peers.context.limits.part(time.monotonic() + 5) == 1.0
 
 
-def test_nodes_that_were_listed_are_believed_to_be_there_before_they_are_heard(peers):
-    """Nodes start together, and one hears a third of the others at first. It must
-    choose from the same nodes as they who adds up an organisation's spending."""
+def test_listed_nodes_are_presumed_live_before_their_first_message(peers):
+    """Nodes start together, and one of them first receives messages from a third of the
+    others. It must choose the node that counts an organisation's spending from the same
+    nodes as they do."""
     peers._add_peer("127.0.0.2")
     peers.receive(state_message(), "127.0.0.3")
     assert peers.presumed_live() == ["127.0.0.2", "127.0.0.3"]
@@ -84,14 +87,14 @@
     assert peers.presumed_live() == ["127.0.0.3"]
 
 
-def test_crashes_are_told_on(peers):
+def test_crashes_are_relayed(peers):
     peers.context.placer.crashes.add(Crash("f", "i-1@3", time.monotonic()))
     assert peers._state_message(False).crashes[0][:2] == ("f", "i-1@3")
 
 
-def test_failures_of_servers_are_told_to_all(peers):
-    """A server fails each request. One node of sixty sends it one in three seconds,
-    and would go on; only all together can tell."""
+def test_server_failures_are_shared_by_all_nodes(peers):
+    """A server fails every request. Each of sixty nodes sends it only one in three
+    seconds, too few to detect that alone; together they can."""
     placer = peers.context.placer
     placer.suspicions.failed("i-1", time.monotonic())
     assert peers._state_message(gone=False).server_failures == {"i-1": 1}
@@ -115,9 +118,9 @@
     assert len(store.topics[Topic.NODES]) == 2
 
 
-def test_a_node_the_store_turned_away_gets_the_configuration_from_another():
-    """The store refuses one node and serves the others and the operators. A key that
-    was taken away meanwhile would stay valid at that node."""
+def test_a_node_that_the_store_rejects_pulls_the_configuration_from_a_peer():
+    """The store rejects one node's calls and serves the others and the operators. A key
+    that is revoked meanwhile would stay valid at that node."""
     ahead, behind = (make_context(make_table(), node=name) for name in "ab")
     ahead.configure(make_table(version=9), b"9", "test")
     port = 17_611
@@ -134,9 +137,10 @@
     assert behind.version == 9
 
 
-def test_many_nodes_that_tell_less_often_are_not_silent(peers):
-    """87 nodes tell each other every 0.9 s. Taken for silent between two tellings, they
-    would leave parts of every limit to nodes that are there, and refuse callers."""
+def test_nodes_that_send_less_often_in_a_large_fleet_are_not_silent(peers):
+    """87 nodes send each other a message every 0.9 s. If they counted as silent between
+    two messages, each node would reserve parts of every limit for them and refuse
+    callers."""
     peers._set_timeouts(0.87)
     peers.receive(state_message(), "127.0.0.2")
     now = time.monotonic()
@@ -148,14 +152,14 @@
 @pytest.mark.parametrize(
     "data", [b"", b"junk", zlib.compress(b"abc")[:-1], zlib.compress(bytes(20_000_000))]
 )
-def test_a_document_that_is_garbled_or_too_long_is_refused(data):
+def test_a_corrupt_or_too_large_configuration_is_refused(data):
     with pytest.raises(OSError):
         decompress(data)
 
 
-def test_many_nodes_ask_for_a_configuration_at_once(peers):
-    """Among 87 nodes most hear of a configuration from a few. One that waited for its
-    next round of tellings, and the one after, had it in force three seconds late."""
+def test_a_node_in_a_large_fleet_pulls_a_newer_configuration_at_once(peers):
+    """Most of 87 nodes learn of a configuration from a few. A node that waited for its
+    next two rounds of messages had it in force three seconds late."""
     for number in range(30):
         peers._add_peer(f"127.0.1.{number}")
     assert not peers.every_node_reads()
@@ -174,8 +178,8 @@
     assert asked[0] - started < 0.15
 
 
-def starting_among(number):
-    """Return the peers of a node that has just started and knows `number` others."""
+def make_starting_peers(number):
+    """Return the peers of a node that has just started and knows `number` nodes."""
     starting = Peers(make_context())
     for other in range(number):
         starting._add_peer(f"127.0.1.{other}")
@@ -183,10 +187,10 @@
     return starting
 
 
-def test_a_node_that_starts_among_many_takes_the_configuration_from_another():
-    """All nodes lose power together, and their links are slow. Were each to read a
-    thousand routes from the store, callers would be turned away 0.6 s longer."""
-    starting = starting_among(30)
+def test_a_starting_node_in_a_large_fleet_pulls_from_a_peer():
+    """All nodes lose power together, and their links are slow. If each read a thousand
+    routes from the store, callers would be refused for 0.6 s longer."""
+    starting = make_starting_peers(30)
     pulled = []
 
     def pull_from(holder, _port, _timeout_s):
@@ -202,16 +206,17 @@
 
 
 @pytest.mark.parametrize("number", [3, 30])
-def test_a_node_that_hears_of_no_configuration_reads_the_store_soon(number):
-    """The first nodes to start find none that has it. Waiting on, all would wait."""
+def test_a_starting_node_without_a_source_reads_the_store_soon(number):
+    """No node has a configuration when the first ones start. If they waited for a
+    source, all would wait for each other."""
     started = time.monotonic()
-    assert not starting_among(number).await_first_configuration()
+    assert not make_starting_peers(number).await_first_configuration()
     assert time.monotonic() - started < 0.15
 
 
-def test_a_node_that_starts_waits_no_longer_than_for_the_list():
-    """Few nodes start, and the store gives the list of nodes in milliseconds. Waiting
-    out the longest time for it, each turns its callers away for a tenth of a second."""
+def test_a_starting_node_in_a_small_fleet_waits_only_for_the_list():
+    """Few nodes start, and the store returns the list of nodes within milliseconds. If
+    each waited for the maximum time, it would refuse its callers for 0.1 s."""
     peers = Peers(make_context(make_table(), store=MemoryStore()))
     peers.broadcast = lambda **_options: None
     listing = gevent.spawn(peers.node_list.follow)
@@ -221,36 +226,36 @@
     assert time.monotonic() - started < 0.05
 
 
-def test_a_newcomer_is_told_at_once_of_the_configuration(peers):
-    """A node that starts would hear of one only with the next round of tellings, up to
-    0.9 s later, and turn its callers away until then."""
-    told = []
-    peers.broadcast = told.extend
+def test_a_starting_node_is_sent_a_message_at_once(peers):
+    """Otherwise a starting node would learn of a configuration only with the next
+    regular message, up to 0.9 s later, and refuse its callers until then."""
+    receivers = []
+    peers.broadcast = receivers.extend
     peers.receive(state_message(version=-1), "127.0.0.2")
     peers.receive(state_message(version=1, node="c"), "127.0.0.3")
-    assert [peer.address for peer in told] == ["127.0.0.2"]
+    assert [peer.address for peer in receivers] == ["127.0.0.2"]
 
 
-def test_urgent_news_reach_many_nodes_within_a_fraction_of_a_round(peers):
-    """Eighty nodes are told ten at a time over 0.8 s. A server that leaves within a
-    second can't wait for that."""
+def test_an_urgent_broadcast_reaches_many_nodes_quickly(peers):
+    """A regular broadcast to eighty nodes, ten at a time, takes 0.8 s. That is too slow
+    for a server that leaves within a second."""
     for number in range(80):
         peers._add_peer(f"127.0.1.{number}")
-    told = []
-    peers.broadcast = lambda some: told.extend(peer.address for peer in some)
+    receivers = []
+    peers.broadcast = lambda some: receivers.extend(peer.address for peer in some)
     loop = gevent.spawn(peers._broadcast_loop)
     gevent.sleep(0.02)
-    told.clear()
+    receivers.clear()
     peers.broadcast_soon()
     gevent.sleep(0.35)
     loop.kill()
-    assert len(set(told)) == 80
+    assert len(set(receivers)) == 80
 
 
-def test_a_node_whose_own_entry_is_not_taken_learns_of_the_others():
-    """The store's answers to writes are lost while all nodes start. A node that tried
-    only that again would serve without knowing of any other, and let through the whole
-    of every limit."""
+def test_a_node_whose_entry_is_not_confirmed_learns_of_the_others():
+    """The store's answers to writes are lost while all nodes start. A node that only
+    retried its write would serve without knowing any other node, and admit the whole of
+    every limit."""
     store = MemoryStore()
     other, node = (Peers(make_context(make_table(), store=store, node=n)) for n in "ab")
     for peers, address in ((other, "127.0.0.2"), (node, "127.0.0.3")):
@@ -270,15 +275,15 @@
 
 
 @pytest.fixture
-def turned_away():
-    """Peers of a node that the store turns away."""
+def rejected_peers():
+    """Peers of a node whose calls the store rejects."""
     store = MemoryStore()
     store.fault = store_down
     return Peers(make_context(make_table(), store=store))
 
 
-def pauses_of(turned_away, monkeypatch):
-    """Return the first pauses between its reads of the nodes' list, seconds."""
+def retry_delays(rejected_peers, monkeypatch):
+    """Return the first delays between its reads of the list of nodes, seconds."""
     gaps = []
 
     def sleep(gap):
@@ -288,21 +293,19 @@
 
     monkeypatch.setattr(peers_module.gevent, "sleep", sleep)
     with pytest.raises(gevent.GreenletExit):
-        turned_away.node_list.follow()
+        rejected_peers.node_list.follow()
     return gaps
 
 
-def test_a_store_that_turns_a_node_away_is_asked_ever_less_often(
-    turned_away, monkeypatch
-):
-    """A third of 87 nodes are turned away for seconds, and each call is paid for."""
-    turned_away.node_list.is_read.set()
-    gaps = pauses_of(turned_away, monkeypatch)
+def test_failed_reads_of_a_known_list_back_off(rejected_peers, monkeypatch):
+    """The store rejects a third of 87 nodes for seconds, and each call is charged."""
+    rejected_peers.node_list.is_read.set()
+    gaps = retry_delays(rejected_peers, monkeypatch)
     assert 0.2 < gaps[0] < 0.6
     assert all(1.5 < gap < 4.5 for gap in gaps[5:])
 
 
-def test_a_node_that_knows_of_no_other_asks_for_them_often(turned_away, monkeypatch):
-    """All nodes start while the store is away. When it is back, each serves at once;
-    until it knows of the others, each lets through the whole of every limit."""
-    assert max(pauses_of(turned_away, monkeypatch)) < 0.6
+def test_failed_reads_of_an_unknown_list_are_retried_often(rejected_peers, monkeypatch):
+    """All nodes start during an outage of the store. Afterwards each serves at once,
+    and admits the whole of every limit until it knows the others."""
+    assert max(retry_delays(rejected_peers, monkeypatch)) < 0.6
--- a/packages/endive_gateway/tests/test_servers.py
+++ b/packages/endive_gateway/tests/test_servers.py
@@ -3,41 +3,44 @@
 from gateway_builders import make_entry
 
 
-def test_an_older_entry_that_comes_late_says_nothing_new():
-    """The store tells of a leaving server, then once more of the time before. Believed,
-    the server would get requests until it is gone, and lose them."""
+def test_an_older_entry_that_arrives_late_is_ignored():
+    """The store returns a leaving server's entry, and after it an older one. If that
+    were applied, the server would get requests until it is gone, and they would be
+    lost."""
     registry = ServerRegistry()
     registry.put(make_entry(sequence=3, state=ServerState.LEAVING))
     assert not registry.put(make_entry(sequence=2))
     assert not registry.get("i-1").usable
 
 
-def test_a_server_that_started_again_counts_anew():
-    """A server crashes and comes back under its id, its count starting from one. Taken
-    for old news, it would stay unknown for as long as it had lived before."""
+def test_a_restarted_server_begins_a_new_sequence():
+    """A server crashes and restarts under its id, with sequence numbers from one. If
+    its entries were ignored as old ones, it would stay unused for as long as it had run
+    before."""
     registry = ServerRegistry()
     registry.put(make_entry(sequence=900, incarnation=1, state=ServerState.LEAVING))
     assert registry.put(make_entry(sequence=1, incarnation=2))
     assert registry.get("i-1").usable
 
 
-def test_only_a_change_of_meaning_is_a_change():
+def test_a_new_sequence_number_alone_is_no_change():
     registry = ServerRegistry()
     assert registry.put(make_entry(sequence=1))
     assert not registry.put(make_entry(sequence=2))
     assert registry.put(make_entry(sequence=3, state=ServerState.LEAVING))
 
 
-def test_an_entry_that_goes_in_quiet_times_is_believed_at_once():
+def test_a_deleted_entry_drops_the_server_at_once():
     registry = ServerRegistry()
     registry.put(make_entry())
     assert registry.drop("i-1", 2.0, after_outage=False)
     assert registry.get("i-1") is None
 
 
-def test_an_entry_that_lapsed_with_the_store_gets_time_to_come_back():
-    """The store was away for seconds and forgot all servers, which live. Believed at
-    once, every request would be refused until they have written again."""
+def test_an_entry_that_lapsed_in_an_outage_gets_a_grace_period():
+    """The store was unavailable for seconds and all entries lapsed, though the servers
+    run. If they were dropped at once, every request would be refused until they have
+    written their entries again."""
     registry = ServerRegistry()
     registry.put(make_entry(sequence=4))
     assert not registry.drop("i-1", 10.0, after_outage=True)
@@ -48,7 +51,7 @@
     assert registry.get("i-1").usable
 
 
-def test_a_lapsed_server_that_does_not_come_back_is_given_up():
+def test_a_lapsed_server_is_dropped_after_its_grace_period():
     registry = ServerRegistry()
     registry.put(make_entry())
     registry.drop("i-1", 10.0, after_outage=True)
@@ -57,13 +60,13 @@
     assert registry.get("i-1") is None
 
 
-def test_a_leaving_server_whose_entry_lapsed_gets_no_grace():
+def test_a_leaving_server_gets_no_grace_period():
     registry = ServerRegistry()
     registry.put(make_entry(state=ServerState.LEAVING))
     assert registry.drop("i-1", 2.0, after_outage=True)
 
 
-def test_a_server_whose_address_another_has_waits_for_a_new_entry():
+def test_a_server_whose_address_another_has_is_unusable_until_a_new_entry():
     registry = ServerRegistry()
     registry.put(make_entry(sequence=1))
     registry.contradict("i-1")
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -22,7 +22,7 @@
 
 
 class RecordingExchange(SpendingExchange):
-    """Keeps what would be sent."""
+    """Records what would be sent."""
 
     def __init__(self, context, peer_addresses):
         super().__init__(context, peer_addresses, lambda: 7)
@@ -37,24 +37,24 @@
         make_route(public=False), organisations={"o": TERMS}, keys={"k": "o"}
     )
     context = make_context(table)
-    notes = RecordingExchange(context, lambda: list(peer_addresses))
-    notes.address = address
-    return notes
+    exchange = RecordingExchange(context, lambda: list(peer_addresses))
+    exchange.address = address
+    return exchange
 
 
 def counting_address(addresses):
     return counting_node("o", addresses)
 
 
-def spend(notes, units):
-    limits = notes.context.limits
+def spend(exchange, units):
+    limits = exchange.context.limits
     limits.spend("o", units)
-    notes.report_spent("o", units)
+    exchange.report_spent("o", units)
 
 
 @pytest.fixture
 def counter():
-    """The notes of the node that adds up, and the other nodes' addresses."""
+    """The exchange of the counting node, which knows the other nodes' addresses."""
     nodes = ["127.0.0.1", *OTHERS]
     address = counting_address(nodes)
     nodes.remove(address)
@@ -65,29 +65,30 @@
     return NodeSpending(address, incarnation, tellings, 0.5, "o", units)
 
 
-def test_entries_come_back_from_their_bytes_and_many_fit_one_frame():
+def test_entries_survive_encoding_and_many_fit_one_frame():
     entries = [entry(f"10.200.100.{n}", 123456.789) for n in range(20)]
     data = msgspec.msgpack.encode(SpendingReport(entries))
     assert DECODER.decode(data) == SpendingReport(entries)
     assert len(data) < 1400
 
 
-def test_each_request_is_told_to_the_node_that_adds_up():
+def test_spending_is_reported_to_the_counting_node():
     nodes = ["127.0.0.1", *OTHERS]
     address = counting_address(nodes)
-    teller = next(node for node in nodes if node != address)
-    notes = make_exchange(teller, [node for node in nodes if node != teller])
-    spend(notes, 10.0)
-    spend(notes, 5.0)
-    assert [(e.units, e.tellings, to) for (e,), to in notes.sent] == [
+    reporter = next(node for node in nodes if node != address)
+    exchange = make_exchange(reporter, [node for node in nodes if node != reporter])
+    spend(exchange, 10.0)
+    spend(exchange, 5.0)
+    assert [(e.units, e.tellings, to) for (e,), to in exchange.sent] == [
         (10.0, 7, [address]),
         (15.0, 7, [address]),
     ]
 
 
-def test_the_node_that_adds_up_tells_all_when_little_is_left(counter):
-    """An organisation floods all nodes, and each sees only its own part. The one that
-    sees the whole tells them before they have let through a limit each."""
+def test_the_counting_node_informs_all_when_little_is_left(counter):
+    """An organisation sends far more than its limit to all nodes, and each sees only
+    its own part. The counting node informs them before each has admitted a whole
+    limit."""
     counter.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
     spender, other = counter.peer_addresses()[:2]
     counter.receive_report([entry(spender, 30.0)])
@@ -98,20 +99,20 @@
     assert sorted(addresses) == sorted(counter.peer_addresses())
 
 
-def test_what_others_are_told_is_counted_once_and_not_passed_on():
+def test_a_repeated_report_is_applied_once_and_not_relayed():
     nodes = ["127.0.0.1", *OTHERS]
     address = counting_address(nodes)
     listener = next(node for node in nodes if node != address)
-    notes = make_exchange(listener, [node for node in nodes if node != listener])
+    exchange = make_exchange(listener, [node for node in nodes if node != listener])
     for _ in range(2):
-        notes.receive_report([entry(address, 150.0), entry(listener, 9e9)])
-    limits = notes.context.limits
+        exchange.receive_report([entry(address, 150.0), entry(listener, 9e9)])
+    limits = exchange.context.limits
     assert limits.allowances["o"].units == -150.0
-    assert not notes.sent
+    assert not exchange.sent
 
 
-def test_a_node_that_left_is_not_told_of(counter):
-    """The spender stops between its note and the moment at which all are told."""
+def test_a_node_that_left_is_not_in_a_report(counter):
+    """The spending node stops between its report and the one to all nodes."""
     counter.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
     spender = counter.peer_addresses()[0]
     counter.receive_report([entry(spender, 45.0)])
@@ -121,20 +122,20 @@
     assert [e.address for e in entries] == [counter.address]
 
 
-def test_notes_go_over_the_network_and_rubbish_is_dropped():
+def test_reports_go_over_the_network_and_invalid_data_is_dropped():
     context = make_context(make_table())
-    notes = SpendingExchange(context, list, lambda: 1)
-    notes.start(47_811)
-    notes._send(SpendingReport([entry("127.0.0.9", 12.0)]), ["127.0.0.1"])
-    notes.datagrams.socket.sendto(b"\xc1rubbish", ("127.0.0.1", 47_811))
-    notes._send(SpendingReport([entry("127.0.0.9", 13.0)]), ["127.0.0.1"])
+    exchange = SpendingExchange(context, list, lambda: 1)
+    exchange.start(47_811)
+    exchange._send(SpendingReport([entry("127.0.0.9", 12.0)]), ["127.0.0.1"])
+    exchange.datagrams.socket.sendto(b"\xc1rubbish", ("127.0.0.1", 47_811))
+    exchange._send(SpendingReport([entry("127.0.0.9", 13.0)]), ["127.0.0.1"])
     gevent.sleep(0.05)
-    notes.stop()
+    exchange.stop()
     assert context.limits.peers["127.0.0.9"].spent == {"o": 13.0}
 
 
-def test_an_organisation_without_terms_is_only_added_up(counter):
-    """An organisation is taken away while its last requests are admitted."""
+def test_spending_without_terms_is_counted_but_not_reported(counter):
+    """An organisation is removed while its last requests are admitted."""
     nodes = [counter.address, *counter.peer_addresses()]
     names = (f"gone-{n}" for n in range(100))
     gone = next(n for n in names if counting_node(n, nodes) == counter.address)
@@ -148,12 +149,12 @@
 
 
 class ConnectedExchange(SpendingExchange):
-    """Hands what it sends to the others in the same process, at once.
+    """Delivers what it sends to exchanges in the same process, at once.
 
     Attributes
     ----------
     dead : set of str
-        Addresses that answer nothing.
+        Addresses that receive nothing and so never reply.
     """
 
     def __init__(self, address, fleet, dead):
@@ -184,117 +185,117 @@
     return made
 
 
-def asker_of(fleet):
-    """Return the notes of a node that is neither the first nor second to add up."""
+def requesting_node(fleet):
+    """Return the exchange of a node that is neither first nor second to count."""
     first = counting_address(MANY_ADDRESSES)
     second = counting_address([node for node in MANY_ADDRESSES if node != first])
-    return next(notes for a, notes in fleet.items() if a not in (first, second))
+    return next(exchange for a, exchange in fleet.items() if a not in (first, second))
 
 
-def ask_all_at_once(fleet):
-    """Let all but the node that adds up ask for 60 units; return nodes and waits."""
+def request_all_at_once(fleet):
+    """Let all but the counting node request 60 units; return nodes and greenlets."""
     nodes = [
-        notes for a, notes in fleet.items() if a != counting_address(MANY_ADDRESSES)
+        exchange
+        for a, exchange in fleet.items()
+        if a != counting_address(MANY_ADDRESSES)
     ]
-    takes = [gevent.spawn(notes.try_spend, TERMS, 60.0) for notes in nodes]
-    return nodes, takes
+    greenlets = [gevent.spawn(exchange.try_spend, TERMS, 60.0) for exchange in nodes]
+    return nodes, greenlets
 
 
 @pytest.fixture
 def stopped_clock(monkeypatch):
-    """No time passes for the limits, however long the machine holds this process up.
+    """No time passes for the limits, however long the machine delays this process.
 
-    In 0.2 s the limit of these tests gains 20 units, and a third request may come.
+    In 0.2 s the limit of these tests gains 20 units, which admits a third request.
     """
     now = time.monotonic()
     monkeypatch.setattr(spending, "time", SimpleNamespace(monotonic=lambda: now))
 
 
-def waits_of(takes):
-    gevent.joinall(takes, timeout=2.0)
-    return [try_spend.value for try_spend in takes]
+def waits_of(greenlets):
+    gevent.joinall(greenlets, timeout=2.0)
+    return [try_spend.value for try_spend in greenlets]
 
 
 def assert_two_pass(nodes, waits):
     assert waits.count(0.0) == 2
     assert all(0.0 < wait < 1.0 for wait in waits if wait)
-    spent = [notes.context.limits.tell().get("o", 0.0) for notes in nodes]
+    spent = [exchange.context.limits.tell().get("o", 0.0) for exchange in nodes]
     assert sorted(spent)[-3:] == [0.0, 60.0, 60.0]
 
 
 @pytest.mark.usefixtures("stopped_clock")
-def test_among_many_nodes_more_than_the_even_part_is_asked_for(fleet, monkeypatch):
-    """Thirty nodes believe that 100 units are left. Each could let through a request of
-    60 units before it has heard of another's, 1,800 units together; the first that asks
-    gets it, as a limit may go below zero by one, and all others are told when to come
-    back."""
-    # Nobody is late here, however long the machine holds this process up.
+def test_in_a_large_fleet_permission_is_needed_beyond_the_even_part(fleet, monkeypatch):
+    """Thirty nodes know that 100 units are left. Without permission each could admit a
+    request of 60 units before it learns of another's, 1,800 units together. Two are
+    admitted, since a limit may go below zero by one request, and the others are refused
+    with the time to wait."""
+    # No reply is late here, however long the machine delays this process.
     monkeypatch.setattr(spending, "ASK_S", 1.5)
-    nodes, takes = ask_all_at_once(fleet)
-    assert_two_pass(nodes, waits_of(takes))
+    nodes, greenlets = request_all_at_once(fleet)
+    assert_two_pass(nodes, waits_of(greenlets))
 
 
 @pytest.mark.usefixtures("stopped_clock")
-def test_among_many_nodes_no_more_passes_where_each_datagram_is_slow(
-    fleet, monkeypatch
-):
-    """Each datagram takes the machine 10 ms to send, so the last node is answered after
-    the first has long spent. Nobody gets more for that."""
+def test_slow_datagrams_do_not_let_more_requests_pass(fleet, monkeypatch):
+    """Each datagram takes 10 ms to send, so the last node gets its reply long after the
+    first has spent. No more requests are admitted because of that."""
     monkeypatch.setattr(spending, "ASK_S", 1.5)
     send = ConnectedExchange._send
 
-    def send_slowly(notes, message, addresses):
+    def send_slowly(exchange, message, addresses):
         time.sleep(0.01)
-        send(notes, message, addresses)
+        send(exchange, message, addresses)
 
     monkeypatch.setattr(ConnectedExchange, "_send", send_slowly)
-    nodes, takes = ask_all_at_once(fleet)
-    assert_two_pass(nodes, waits_of(takes))
+    nodes, greenlets = request_all_at_once(fleet)
+    assert_two_pass(nodes, waits_of(greenlets))
 
 
 @pytest.mark.usefixtures("stopped_clock")
-def test_among_many_nodes_no_more_passes_where_all_answers_are_late(fleet):
-    """The machine holds all nodes up for longer than an answer is waited for. A second
-    node adds up then; still no more than two requests pass before all have heard."""
-    nodes, takes = ask_all_at_once(fleet)
+def test_late_replies_do_not_let_more_requests_pass(fleet):
+    """The machine delays all nodes for longer than they wait for a reply. A second node
+    then counts; still no more than two requests are admitted before all nodes know."""
+    nodes, greenlets = request_all_at_once(fleet)
     gevent.spawn(time.sleep, 1.5 * ASK_S)
-    waits = waits_of(takes)
+    waits = waits_of(greenlets)
     assert waits.count(0.0) <= 2
     assert all(0.0 < wait < 1.0 for wait in waits if wait)
-    spent = [notes.context.limits.tell().get("o", 0.0) for notes in nodes]
+    spent = [exchange.context.limits.tell().get("o", 0.0) for exchange in nodes]
     assert sum(spent) <= 120.0
 
 
-def test_the_even_part_needs_no_answer(fleet):
-    notes = asker_of(fleet)
-    assert notes.try_spend(TERMS, 3.0) == 0.0
-    assert notes.requests_sent == 0
+def test_the_even_part_needs_no_permission(fleet):
+    exchange = requesting_node(fleet)
+    assert exchange.try_spend(TERMS, 3.0) == 0.0
+    assert exchange.requests_sent == 0
 
 
-def test_another_node_is_asked_when_the_first_is_silent(fleet):
-    """The node that adds up was killed. Asked in vain by each request until it is no
-    longer listed, its organisations' callers would be refused for three seconds."""
-    asker = asker_of(fleet)
-    asker.dead.add(counting_address(MANY_ADDRESSES))
-    assert asker.try_spend(TERMS, 60.0) == 0.0
-    assert asker.requests_sent == 2
-    assert asker.try_spend(TERMS, 30.0) == 0.0
-    assert asker.requests_sent == 3
+def test_another_node_is_asked_when_the_first_does_not_reply(fleet):
+    """The counting node was killed. If each request asked it until it no longer counts
+    as live, its organisations' callers would be refused for three seconds."""
+    requester = requesting_node(fleet)
+    requester.dead.add(counting_address(MANY_ADDRESSES))
+    assert requester.try_spend(TERMS, 60.0) == 0.0
+    assert requester.requests_sent == 2
+    assert requester.try_spend(TERMS, 30.0) == 0.0
+    assert requester.requests_sent == 3
 
 
-def test_nothing_is_spent_unheard_when_nobody_answers(fleet):
-    """A node that is cut off from the others would go on as if all of the allowance
-    were its own, as would each of the others."""
-    asker = asker_of(fleet)
-    asker.dead.update(MANY_ADDRESSES)
-    assert asker.try_spend(TERMS, 60.0) > 0.0
-    assert asker.context.limits.tell().get("o", 0.0) == 0.0
-    assert not asker.pending_replies
+def test_nothing_is_spent_without_a_reply(fleet):
+    """Otherwise a node that is disconnected from the others would spend the whole
+    allowance, as would each of the others."""
+    requester = requesting_node(fleet)
+    requester.dead.update(MANY_ADDRESSES)
+    assert requester.try_spend(TERMS, 60.0) > 0.0
+    assert requester.context.limits.tell().get("o", 0.0) == 0.0
+    assert not requester.pending_replies
 
 
-def test_a_node_unknown_for_long_gets_no_grant(fleet):
-    """How much an old node has spent before it was heard isn't known, so what it asks
-    for can't be told from what it has spent."""
+def test_an_old_node_of_unknown_spending_gets_no_reply(fleet):
+    """What a long-running node had spent before its first message is unknown, so what
+    it requests can't be distinguished from what it has spent."""
     counter = fleet[counting_address(MANY_ADDRESSES)]
     total = NodeSpending("127.0.9.9", 3, 5000, 3600.0, "o", 1e6)
     counter.handle_request(SpendRequest(1, total))
@@ -302,7 +303,7 @@
     assert "127.0.9.9" not in counter.context.limits.peers
 
 
-def test_an_answer_that_comes_too_late_changes_nothing(fleet):
-    asker = asker_of(fleet)
-    asker.handle_message(SpendReply(99, 0.0), "127.0.1.0")
-    assert asker.context.limits.tell().get("o", 0.0) == 0.0
+def test_a_late_reply_changes_nothing(fleet):
+    requester = requesting_node(fleet)
+    requester.handle_message(SpendReply(99, 0.0), "127.0.1.0")
+    assert requester.context.limits.tell().get("o", 0.0) == 0.0
