--- a/packages/endive_gateway/src/endive_gateway/following.py
+++ b/packages/endive_gateway/src/endive_gateway/following.py
@@ -242,11 +242,11 @@
         )
 
     def _next_backoff_s(self) -> float:
-        gap, self.backoff_s = (
+        delay_s, self.backoff_s = (
             self.backoff_s,
             min(MAX_READ_BACKOFF_S, 2 * self.backoff_s),
         )
-        return gap * self.context.random.uniform(0.7, 1.0)
+        return delay_s * self.context.random.uniform(0.7, 1.0)
 
 
 class ServerFollower(Follower):
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -248,13 +248,13 @@
             return
         self._send(SpendReply(request.number, wait_s), [total.address])
         if wait_s <= 0:
-            self._count(total.organisation, total.address, total.units - before)
+            self._count_spent(total.organisation, total.address, total.units - before)
 
     def report_spent(self, organisation: str, units: float) -> None:
         """Report that this node has spent `units` more of a limit."""
         counter = self._counting_node(organisation)
         if counter == self.address:
-            self._count(organisation, self.address, units)
+            self._count_spent(organisation, self.address, units)
         else:
             self._send(SpendingReport([self._own_entry(organisation)]), [counter])
 
@@ -268,7 +268,7 @@
             new = limits.note(entry.spender, entry.organisation, entry.units, now)
             counter = self._counting_node(entry.organisation)
             if new > 0 and counter == self.address:
-                self._count(entry.organisation, entry.address, new)
+                self._count_spent(entry.organisation, entry.address, new)
 
     def _counting_node(self, organisation: str) -> str:
         """Return the address of the node that counts an organisation's spending.
@@ -286,7 +286,7 @@
             self.counting_cache[organisation] = nodes, counter
         return counter
 
-    def _count(self, organisation: str, address: str, units: float) -> None:
+    def _count_spent(self, organisation: str, address: str, units: float) -> None:
         """Count spending, and inform all other nodes when that is due."""
         self.count.add(organisation, address, units)
         terms = self.context.terms(organisation)
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -46,10 +46,10 @@
     """A datagram larger than one frame is lost if any of its fragments is."""
     organisations = {f"organisation-{n}": 123456.789 for n in range(8)}
     counts = dict.fromkeys(organisations, 1000)
-    receivers = state_message(
+    message = state_message(
         spent=organisations, windows=dict.fromkeys((1, 2, 3), counts)
     )
-    assert len(msgspec.msgpack.encode(receivers)) < 1400
+    assert len(msgspec.msgpack.encode(message)) < 1400
 
 
 def test_a_peers_state_is_applied(peers):
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -215,7 +215,7 @@
 
 def waits_of(greenlets):
     gevent.joinall(greenlets, timeout=2.0)
-    return [try_spend.value for try_spend in greenlets]
+    return [greenlet.value for greenlet in greenlets]
 
 
 def assert_two_pass(nodes, waits):
