--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -178,6 +178,6 @@
         while time.monotonic() < end and self.callers.busy:
             self.callers.close_idle()
             gevent.sleep(DRAIN_POLL_S)
-        self.peers.broadcast(gone=True)
+        self.peers.send_state(gone=True)
         log_event("stopped", unfinished=self.callers.busy)
         self.stopped.set()
--- a/packages/endive_gateway/src/endive_gateway/ordering.py
+++ b/packages/endive_gateway/src/endive_gateway/ordering.py
@@ -100,7 +100,7 @@
         self.initial_servers: dict[str, int] = {}
         self.traffic_since: float | None = None
         self.accepted: dict[tuple[str, Pool], tuple[int, float]] = {}
-        self.refusals: dict[tuple[str, Pool], Refused] = {}
+        self.backoffs: dict[tuple[str, Pool], Refused] = {}
         self.next_try_at = 0.0
         self.reclaimed_at: dict[str, float] = {}
         self.scale_in_since: dict[tuple[str, Pool], float] = {}
@@ -121,7 +121,7 @@
                 key = (entry.service, Pool(entry.zone, entry.reclaimable))
                 servers, _ = self.accepted.get(key, (0, 0.0))
                 self.accepted[key] = (servers + 1, now - ORDER_REPEAT_S)
-        self.refusals.clear()
+        self.backoffs.clear()
         self.next_try_at = now
 
     def step(self, node: str, lease: Lease, now: float) -> None:
@@ -212,9 +212,9 @@
     def _desired(self, service: Service, now: float) -> dict[Pool, int]:
         pools = self._pool_states(service)
         self._detect_reclaims(service, pools, now)
-        refusals = {
-            pool: refusal.until
-            for (name, pool), refusal in self.refusals.items()
+        backoffs = {
+            pool: backoff.until
+            for (name, pool), backoff in self.backoffs.items()
             if name == service.name
         }
         return desired_servers(
@@ -223,7 +223,7 @@
                 pools,
                 self.needed(service, now),
                 now,
-                refusals,
+                backoffs,
                 self._ordered_servers(service, pools),
                 self.reclaimed_at.get(service.name, float("-inf")),
             )
@@ -283,8 +283,8 @@
         self, node: str, lease: Lease, service: Service, pool: Pool, servers: int, now
     ) -> None:
         key = (service.name, pool)
-        refusal = self.refusals.get(key)
-        if refusal is not None and now < refusal.until:
+        backoff = self.backoffs.get(key)
+        if backoff is not None and now < backoff.until:
             return
         accepted = self.accepted.get(key)
         if accepted is not None and not self._may_scale_in(
@@ -299,13 +299,13 @@
         try:
             self.context.cloud.order(node, lease.fence, order)
         except CloudEmptyError:
-            self._note_refusal(key, refusal, now)
+            self._note_refusal(key, backoff, now)
             return
         except CloudError as error:
             log_event("order_failed", order=order, error=error)
             self.next_try_at = now + RETRY_S
             return
-        self.refusals.pop(key, None)
+        self.backoffs.pop(key, None)
         self.accepted[key] = (servers, now)
         log_event(
             "ordered",
@@ -323,10 +323,10 @@
             return ORDER_REPEAT_S
         return min(ORDER_REPEAT_S, service.scaling.boot_s + REGISTRATION_S)
 
-    def _note_refusal(self, key, refusal: Refused | None, now: float) -> None:
+    def _note_refusal(self, key, backoff: Refused | None, now: float) -> None:
         pause = RECLAIMED_BACKOFF_S
-        if refusal is not None:
-            pause = min(MAX_BACKOFF_S, 2 * refusal.pause_s)
-        self.refusals[key] = Refused(now + pause, pause)
+        if backoff is not None:
+            pause = min(MAX_BACKOFF_S, 2 * backoff.pause_s)
+        self.backoffs[key] = Refused(now + pause, pause)
         self.accepted.pop(key, None)
         log_event("order_refused", service=key[0], pool=key[1], pause_s=pause)
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -142,7 +142,7 @@
 
         Nodes that start together read the same list before they receive each other's
         messages. If each counted only the nodes that it has heard from, they would
-        choose different nodes to count an organisation's spending.
+        choose different coordinators for an organisation's limit.
         """
         now = time.monotonic()
         return [
@@ -193,7 +193,7 @@
         """
         holders = 1 + sum(other.version >= 0 for other in self.live())
         if self.context.random.random() < GREETERS / holders:
-            self.broadcast([peer])
+            self.send_state([peer])
 
     def _add_listed(self, addresses: list[str]) -> None:
         """Add the nodes in the list, and send them this node's state."""
@@ -202,7 +202,7 @@
             if self._add_peer(address) is not None and not known:
                 self.context.limits.expect(address, time.monotonic())
         self.context.set_nodes(len(self.known) + 1)
-        self.broadcast()
+        self.send_state()
 
     def _add_peer(self, address: str) -> Peer | None:
         if address == self.address:
@@ -245,7 +245,7 @@
         """
         peers = list(self.known.values())
         for first in range(0, max(1, len(peers)), DATAGRAMS_PER_STEP):
-            self.broadcast(peers[first : first + DATAGRAMS_PER_STEP])
+            self.send_state(peers[first : first + DATAGRAMS_PER_STEP])
             if self.urgent.wait(step_s):
                 return
 
@@ -259,7 +259,9 @@
         if self.is_reader() and not self.every_node_reads():
             self.urgent.set()
 
-    def broadcast(self, peers: list[Peer] | None = None, *, gone: bool = False) -> None:
+    def send_state(
+        self, peers: list[Peer] | None = None, *, gone: bool = False
+    ) -> None:
         """Send this node's state to `peers`, or to all others.
 
         Parameters
@@ -326,11 +328,11 @@
         peer = self._add_peer(address)
         if peer is None:
             return
-        age = (message.incarnation, message.sequence)
-        if age <= (peer.incarnation, peer.sequence):
+        order = (message.incarnation, message.sequence)
+        if order <= (peer.incarnation, peer.sequence):
             return
         now = time.monotonic()
-        peer.node, peer.incarnation, peer.sequence = message.node, *age
+        peer.node, peer.incarnation, peer.sequence = message.node, *order
         peer.heard_at = now
         peer.version = message.version
         peer.fence = message.fence
@@ -339,7 +341,7 @@
         context.reported = max(context.reported, message.reported)
         self.observe_duty_log_end(message.duty_log_end)
         context.true_time.hear(address, message.wall_ms / 1000)
-        spender = Spender(address, *age, message.age_s)
+        spender = Spender(address, *order, message.age_s)
         context.limits.hear(spender, message.spent, now)
         context.meter.hear(address, message.incarnation, message.windows)
         for fingerprint, server, age_s in message.crashes:
--- a/packages/endive_gateway/src/endive_gateway/servers.py
+++ b/packages/endive_gateway/src/endive_gateway/servers.py
@@ -64,13 +64,14 @@
     def put(self, entry: ServerEntry) -> bool:
         """Store an entry; return whether anything but its sequence number changed.
 
-        An entry that is older than the known one arrived late and is ignored.
+        An entry that is older than the known one arrived late. It ends a grace period
+        and is ignored apart from that.
         """
         known = self.servers.get(entry.id)
         if known is not None:
             known.drop_at = None
-            age = (entry.incarnation, entry.sequence)
-            if age < (known.entry.incarnation, known.entry.sequence):
+            order = (entry.incarnation, entry.sequence)
+            if order < (known.entry.incarnation, known.entry.sequence):
                 return False
         before = known.entry if known else None
         if known is None:
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -1,8 +1,8 @@
 """Immediate exchange of organisations' spending between gateways.
 
-Each node reports what it spends of a limit at once to one node, which counts that
-organisation's spending. :mod:`endive_core.counting` decides which node that is and when
-it informs the others. The messages use a UDP port of their own, so that they don't wait
+Each node reports what it spends of a limit at once to the organisation's coordinator,
+one of the nodes. :mod:`endive_core.counting` decides which node that is and when it
+informs the others. The messages use a UDP port of their own, so that they don't wait
 for the state messages, nor those for them. The totals in the state messages make up for
 lost reports.
 """
@@ -60,7 +60,7 @@
     units: float
 
     @property
-    def spender(self) -> Spender:
+    def origin(self) -> Spender:
         """The node in the form that the shared limits use."""
         return Spender(self.address, self.incarnation, self.tellings, self.age_s)
 
@@ -71,8 +71,8 @@
     entries: list[NodeSpending]
 
 
-class SpendRequest(msgspec.Struct, array_like=True, tag="ask"):
-    """A node's request for permission to spend.
+class GrantRequest(msgspec.Struct, array_like=True, tag="ask"):
+    """A node's request to the coordinator for a grant to spend.
 
     Attributes
     ----------
@@ -86,8 +86,8 @@
     total: NodeSpending
 
 
-class SpendReply(msgspec.Struct, array_like=True, tag="grant"):
-    """Reply to a request for permission to spend.
+class GrantReply(msgspec.Struct, array_like=True, tag="grant"):
+    """Reply to a request for a grant.
 
     Attributes
     ----------
@@ -99,11 +99,11 @@
     wait_s: float
 
 
-DECODER = msgspec.msgpack.Decoder(SpendingReport | SpendRequest | SpendReply)
+DECODER = msgspec.msgpack.Decoder(SpendingReport | GrantRequest | GrantReply)
 
 
 class SpendingExchange:
-    """Reports spending, requests permission to spend, and counts for other nodes.
+    """Reports spending, requests grants, and is the coordinator of some organisations.
 
     Parameters
     ----------
@@ -114,10 +114,12 @@
 
     Attributes
     ----------
-    counting_cache : dict
-        By organisation, the nodes last considered and the counting node among them.
+    unsent_spending : SpendingCount
+        As coordinator, the spending of which the other nodes have not been informed.
+    coordinator_cache : dict
+        By organisation, the nodes last considered and the coordinator among them.
     requests_sent : int
-        Number of requests to spend that this node has sent.
+        Number of grants that this node has requested.
     requested_units : Counter
         By organisation, units for which a reply is awaited.
     pending_replies : dict
@@ -136,8 +138,8 @@
         self.peer_addresses = peer_addresses
         self.tellings = tellings
         self.address = context.settings.place.address
-        self.count = SpendingCount()
-        self.counting_cache: dict[str, tuple[list[str], str]] = {}
+        self.unsent_spending = SpendingCount()
+        self.coordinator_cache: dict[str, tuple[list[str], str]] = {}
         self.requests_sent = 0
         self.requested_units: Counter[str] = Counter()
         self.pending_replies: dict[int, AsyncResult] = {}
@@ -157,21 +159,21 @@
         """Spend `units` and return 0 if a request is allowed, else the seconds to wait.
 
         See :meth:`endive_core.sharing.SharedLimits.wait_s`. In a large fleet a node has
-        to ask the counting node for more than its even part of what is left.
+        to request a grant for more than its even part of what is left.
         """
         limits = self.context.limits
         for _ in range(MOST_ASKED):
             now = time.monotonic()
             left, _ = limits.left(terms.name, now, rate=terms.rate, burst=terms.burst)
-            counter = self._counting_node(terms.name)
-            if counter == self.address or not self._must_request(units, left):
+            coordinator = self._coordinator(terms.name)
+            if coordinator == self.address or not self._needs_grant(units, left):
                 return self._spend_locally(terms, units, now)
-            wait_s = self._request(counter, terms.name, units)
+            wait_s = self._request_grant(coordinator, terms.name, units)
             if wait_s is not None:
                 return wait_s
         return ASK_AGAIN_S
 
-    def _must_request(self, units: float, left: float) -> bool:
+    def _needs_grant(self, units: float, left: float) -> bool:
         nodes = len(self.context.limits.peers) + 1
         if nodes <= ASKING_NODES or left <= 0:
             return False
@@ -187,12 +189,14 @@
             self.report_spent(terms.name, units)
         return wait_s
 
-    def _request(self, counter: str, organisation: str, units: float) -> float | None:
-        """Ask the counting node for permission, and spend if it is given.
+    def _request_grant(
+        self, coordinator: str, organisation: str, units: float
+    ) -> float | None:
+        """Request a grant from the coordinator, and spend if it is given.
 
-        A node that doesn't reply is skipped for a while. Otherwise each request would
-        ask a node that was killed or hangs until it no longer counts as live, up to
-        three seconds, and the organisation's callers would be refused.
+        A coordinator that doesn't reply is replaced for a while. If each request waited
+        in vain for one that was killed or hangs, the organisation's callers would be
+        refused until it no longer counts as live, up to three seconds.
 
         Returns
         -------
@@ -205,11 +209,11 @@
         self.requested_units[organisation] += units
         try:
             total = self._own_entry(organisation, self.requested_units[organisation])
-            self._send(SpendRequest(number, total), [counter])
+            self._send(GrantRequest(number, total), [coordinator])
             wait_s = reply.get(timeout=ASK_S)
         except gevent.Timeout:
-            self._skip_node(counter)
-            log_event("limit_not_answered", peer=counter, organisation=organisation)
+            self._skip_node(coordinator)
+            log_event("limit_not_answered", peer=coordinator, organisation=organisation)
             return None
         finally:
             del self.pending_replies[number]
@@ -218,14 +222,14 @@
             self.context.limits.spend(organisation, units)
         return wait_s
 
-    def _skip_node(self, counter: str) -> None:
-        """Use another counting node for a while."""
+    def _skip_node(self, coordinator: str) -> None:
+        """Use another coordinator for a while."""
         now = time.monotonic()
         self.skipped_until = {n: t for n, t in self.skipped_until.items() if t > now}
-        self.skipped_until[counter] = now + UNASKED_S
+        self.skipped_until[coordinator] = now + UNASKED_S
 
-    def handle_request(self, request: SpendRequest) -> None:
-        """Reply to another node's request to spend.
+    def grant(self, request: GrantRequest) -> None:
+        """Reply to another node's request for a grant.
 
         There is no reply if the organisation is unknown, or if what the node has spent
         so far is.
@@ -237,7 +241,7 @@
         known = self.context.limits.peers.get(total.address)
         before = known.spent.get(total.organisation, 0.0) if known else 0.0
         wait_s = self.context.limits.grant(
-            total.spender,
+            total.origin,
             total.organisation,
             total.units,
             time.monotonic(),
@@ -246,32 +250,32 @@
         )
         if wait_s is None:
             return
-        self._send(SpendReply(request.number, wait_s), [total.address])
+        self._send(GrantReply(request.number, wait_s), [total.address])
         if wait_s <= 0:
-            self._count_spent(total.organisation, total.address, total.units - before)
+            self._add_unsent(total.organisation, total.address, total.units - before)
 
     def report_spent(self, organisation: str, units: float) -> None:
         """Report that this node has spent `units` more of a limit."""
-        counter = self._counting_node(organisation)
-        if counter == self.address:
-            self._count_spent(organisation, self.address, units)
+        coordinator = self._coordinator(organisation)
+        if coordinator == self.address:
+            self._add_unsent(organisation, self.address, units)
         else:
-            self._send(SpendingReport([self._own_entry(organisation)]), [counter])
+            self._send(SpendingReport([self._own_entry(organisation)]), [coordinator])
 
     def receive_report(self, entries: list[NodeSpending]) -> None:
-        """Apply another node's report, and count what is new in it."""
+        """Apply another node's report; as coordinator, note what is new in it."""
         limits = self.context.limits
         now = time.monotonic()
         for entry in entries:
             if entry.address == self.address:
                 continue
-            new = limits.note(entry.spender, entry.organisation, entry.units, now)
-            counter = self._counting_node(entry.organisation)
-            if new > 0 and counter == self.address:
-                self._count_spent(entry.organisation, entry.address, new)
+            new = limits.note(entry.origin, entry.organisation, entry.units, now)
+            coordinator = self._coordinator(entry.organisation)
+            if new > 0 and coordinator == self.address:
+                self._add_unsent(entry.organisation, entry.address, new)
 
-    def _counting_node(self, organisation: str) -> str:
-        """Return the address of the node that counts an organisation's spending.
+    def _coordinator(self, organisation: str) -> str:
+        """Return the address of the organisation's coordinator.
 
         It is cached until the nodes change, since it takes one hash for each node.
         """
@@ -280,23 +284,23 @@
             n for n in self.peer_addresses() if self.skipped_until.get(n, 0.0) <= now
         ]
         nodes = [self.address, *candidates]
-        known, counter = self.counting_cache.get(organisation, (None, ""))
+        known, coordinator = self.coordinator_cache.get(organisation, (None, ""))
         if known != nodes:
-            counter = counting_node(organisation, nodes)
-            self.counting_cache[organisation] = nodes, counter
-        return counter
+            coordinator = counting_node(organisation, nodes)
+            self.coordinator_cache[organisation] = nodes, coordinator
+        return coordinator
 
-    def _count_spent(self, organisation: str, address: str, units: float) -> None:
-        """Count spending, and inform all other nodes when that is due."""
-        self.count.add(organisation, address, units)
+    def _add_unsent(self, organisation: str, address: str, units: float) -> None:
+        """Add spending, and inform all other nodes when that is due."""
+        self.unsent_spending.add(organisation, address, units)
         terms = self.context.terms(organisation)
         if terms is None:
             return
         left, most = self.context.limits.left(
             organisation, time.monotonic(), rate=terms.rate, burst=terms.burst
         )
-        due = self.count.take_due(organisation, left=left, most=most)
-        found = [self._entry_of(organisation, spender) for spender in due]
+        due = self.unsent_spending.take_due(organisation, left=left, most=most)
+        found = [self._entry_of(organisation, origin) for origin in due]
         entries = [entry for entry in found if entry is not None]
         addresses = self.peer_addresses()
         for first in range(0, len(entries), MAX_ENTRIES):
@@ -327,19 +331,19 @@
         )
 
     def _send(
-        self, message: SpendingReport | SpendRequest | SpendReply, addresses: list[str]
+        self, message: SpendingReport | GrantRequest | GrantReply, addresses: list[str]
     ) -> None:
         self.datagrams.send(message, addresses)
 
     def handle_message(
-        self, message: SpendingReport | SpendRequest | SpendReply, _address: str
+        self, message: SpendingReport | GrantRequest | GrantReply, _address: str
     ) -> None:
         """Handle a message from another node."""
         match message:
             case SpendingReport(entries):
                 self.receive_report(entries)
-            case SpendRequest():
-                self.handle_request(message)
-            case SpendReply(number, wait_s):
+            case GrantRequest():
+                self.grant(message)
+            case GrantReply(number, wait_s):
                 if number in self.pending_replies:
                     self.pending_replies[number].set(wait_s)
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -78,8 +78,8 @@
 
 def test_listed_nodes_are_presumed_live_before_their_first_message(peers):
     """Nodes start together, and one of them first receives messages from a third of the
-    others. It must choose the node that counts an organisation's spending from the same
-    nodes as they do."""
+    others. It must choose an organisation's coordinator from the same nodes as they
+    do."""
     peers._add_peer("127.0.0.2")
     peers.receive(state_message(), "127.0.0.3")
     assert peers.presumed_live() == ["127.0.0.2", "127.0.0.3"]
@@ -108,7 +108,7 @@
     one, two = (Peers(make_context(make_table(), store=store, node=n)) for n in "ab")
     for peers, address in ((one, "127.0.0.2"), (two, "127.0.0.3")):
         peers.address = peers.node_list.address = address
-    one.broadcast = two.broadcast = lambda *_arguments, **_options: None
+    one.send_state = two.send_state = lambda *_arguments, **_options: None
     listing = [gevent.spawn(peers.node_list.follow) for peers in (one, two)]
     gevent.sleep(0.05)
     gevent.killall(listing)
@@ -218,7 +218,7 @@
     """Few nodes start, and the store returns the list of nodes within milliseconds. If
     each waited for the maximum time, it would refuse its callers for 0.1 s."""
     peers = Peers(make_context(make_table(), store=MemoryStore()))
-    peers.broadcast = lambda **_options: None
+    peers.send_state = lambda **_options: None
     listing = gevent.spawn(peers.node_list.follow)
     started = time.monotonic()
     assert not peers.await_first_configuration()
@@ -230,7 +230,7 @@
     """Otherwise a starting node would learn of a configuration only with the next
     regular message, up to 0.9 s later, and refuse its callers until then."""
     receivers = []
-    peers.broadcast = receivers.extend
+    peers.send_state = receivers.extend
     peers.receive(state_message(version=-1), "127.0.0.2")
     peers.receive(state_message(version=1, node="c"), "127.0.0.3")
     assert [peer.address for peer in receivers] == ["127.0.0.2"]
@@ -242,7 +242,7 @@
     for number in range(80):
         peers._add_peer(f"127.0.1.{number}")
     receivers = []
-    peers.broadcast = lambda some: receivers.extend(peer.address for peer in some)
+    peers.send_state = lambda some: receivers.extend(peer.address for peer in some)
     loop = gevent.spawn(peers._broadcast_loop)
     gevent.sleep(0.02)
     receivers.clear()
@@ -267,7 +267,7 @@
             raise StoreUncertainError("the answer was lost")
 
     store.fault = lose_writes
-    node.broadcast = lambda **_options: None
+    node.send_state = lambda **_options: None
     listing = gevent.spawn(node.node_list.follow)
     gevent.sleep(0.05)
     listing.kill()
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -9,11 +9,11 @@
 from endive_gateway import spending
 from endive_gateway.spending import (
     DECODER,
+    GrantReply,
+    GrantRequest,
     NodeSpending,
     SpendingExchange,
     SpendingReport,
-    SpendReply,
-    SpendRequest,
 )
 from gateway_builders import make_context, make_route, make_table
 
@@ -42,7 +42,7 @@
     return exchange
 
 
-def counting_address(addresses):
+def coordinator_address(addresses):
     return counting_node("o", addresses)
 
 
@@ -53,10 +53,10 @@
 
 
 @pytest.fixture
-def counter():
-    """The exchange of the counting node, which knows the other nodes' addresses."""
+def coordinator():
+    """The exchange of the coordinator, which knows the other nodes' addresses."""
     nodes = ["127.0.0.1", *OTHERS]
-    address = counting_address(nodes)
+    address = coordinator_address(nodes)
     nodes.remove(address)
     return make_exchange(address, nodes)
 
@@ -72,9 +72,9 @@
     assert len(data) < 1400
 
 
-def test_spending_is_reported_to_the_counting_node():
+def test_spending_is_reported_to_the_coordinator():
     nodes = ["127.0.0.1", *OTHERS]
-    address = counting_address(nodes)
+    address = coordinator_address(nodes)
     reporter = next(node for node in nodes if node != address)
     exchange = make_exchange(reporter, [node for node in nodes if node != reporter])
     spend(exchange, 10.0)
@@ -85,23 +85,23 @@
     ]
 
 
-def test_the_counting_node_informs_all_when_little_is_left(counter):
+def test_the_coordinator_informs_all_when_little_is_left(coordinator):
     """An organisation sends far more than its limit to all nodes, and each sees only
-    its own part. The counting node informs them before each has admitted a whole
+    its own part. The coordinator informs them before each has admitted a whole
     limit."""
-    counter.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
-    spender, other = counter.peer_addresses()[:2]
-    counter.receive_report([entry(spender, 30.0)])
-    assert not counter.sent
-    counter.receive_report([entry(other, 30.0)])
-    ((entries, addresses),) = counter.sent
-    assert {(e.address, e.units) for e in entries} == {(spender, 30.0), (other, 30.0)}
-    assert sorted(addresses) == sorted(counter.peer_addresses())
+    coordinator.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
+    origin, other = coordinator.peer_addresses()[:2]
+    coordinator.receive_report([entry(origin, 30.0)])
+    assert not coordinator.sent
+    coordinator.receive_report([entry(other, 30.0)])
+    ((entries, addresses),) = coordinator.sent
+    assert {(e.address, e.units) for e in entries} == {(origin, 30.0), (other, 30.0)}
+    assert sorted(addresses) == sorted(coordinator.peer_addresses())
 
 
 def test_a_repeated_report_is_applied_once_and_not_relayed():
     nodes = ["127.0.0.1", *OTHERS]
-    address = counting_address(nodes)
+    address = coordinator_address(nodes)
     listener = next(node for node in nodes if node != address)
     exchange = make_exchange(listener, [node for node in nodes if node != listener])
     for _ in range(2):
@@ -111,15 +111,15 @@
     assert not exchange.sent
 
 
-def test_a_node_that_left_is_not_in_a_report(counter):
+def test_a_node_that_left_is_not_in_a_report(coordinator):
     """The spending node stops between its report and the one to all nodes."""
-    counter.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
-    spender = counter.peer_addresses()[0]
-    counter.receive_report([entry(spender, 45.0)])
-    counter.context.limits.leave(spender)
-    spend(counter, 40.0)
-    ((entries, _),) = counter.sent
-    assert [e.address for e in entries] == [counter.address]
+    coordinator.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
+    origin = coordinator.peer_addresses()[0]
+    coordinator.receive_report([entry(origin, 45.0)])
+    coordinator.context.limits.leave(origin)
+    spend(coordinator, 40.0)
+    ((entries, _),) = coordinator.sent
+    assert [e.address for e in entries] == [coordinator.address]
 
 
 def test_reports_go_over_the_network_and_invalid_data_is_dropped():
@@ -134,15 +134,15 @@
     assert context.limits.peers["127.0.0.9"].spent == {"o": 13.0}
 
 
-def test_spending_without_terms_is_counted_but_not_reported(counter):
+def test_spending_without_terms_is_counted_but_not_reported(coordinator):
     """An organisation is removed while its last requests are admitted."""
-    nodes = [counter.address, *counter.peer_addresses()]
+    nodes = [coordinator.address, *coordinator.peer_addresses()]
     names = (f"gone-{n}" for n in range(100))
-    gone = next(n for n in names if counting_node(n, nodes) == counter.address)
-    counter.context.limits.spend(gone, 5.0)
-    counter.report_spent(gone, 5.0)
-    assert counter.count.untold[gone] == {counter.address: 5.0}
-    assert not counter.sent
+    gone = next(n for n in names if counting_node(n, nodes) == coordinator.address)
+    coordinator.context.limits.spend(gone, 5.0)
+    coordinator.report_spent(gone, 5.0)
+    assert coordinator.unsent_spending.untold[gone] == {coordinator.address: 5.0}
+    assert not coordinator.sent
 
 
 MANY_ADDRESSES = [f"127.0.1.{n}" for n in range(30)]
@@ -186,18 +186,18 @@
 
 
 def requesting_node(fleet):
-    """Return the exchange of a node that is neither first nor second to count."""
-    first = counting_address(MANY_ADDRESSES)
-    second = counting_address([node for node in MANY_ADDRESSES if node != first])
+    """Return the exchange of a node that is neither coordinator nor its replacement."""
+    first = coordinator_address(MANY_ADDRESSES)
+    second = coordinator_address([node for node in MANY_ADDRESSES if node != first])
     return next(exchange for a, exchange in fleet.items() if a not in (first, second))
 
 
 def request_all_at_once(fleet):
-    """Let all but the counting node request 60 units; return nodes and greenlets."""
+    """Let all but the coordinator request 60 units; return nodes and greenlets."""
     nodes = [
         exchange
         for a, exchange in fleet.items()
-        if a != counting_address(MANY_ADDRESSES)
+        if a != coordinator_address(MANY_ADDRESSES)
     ]
     greenlets = [gevent.spawn(exchange.try_spend, TERMS, 60.0) for exchange in nodes]
     return nodes, greenlets
@@ -226,8 +226,8 @@
 
 
 @pytest.mark.usefixtures("stopped_clock")
-def test_in_a_large_fleet_permission_is_needed_beyond_the_even_part(fleet, monkeypatch):
-    """Thirty nodes know that 100 units are left. Without permission each could admit a
+def test_in_a_large_fleet_a_grant_is_needed_beyond_the_even_part(fleet, monkeypatch):
+    """Thirty nodes know that 100 units are left. Without grants each could admit a
     request of 60 units before it learns of another's, 1,800 units together. Two are
     admitted, since a limit may go below zero by one request, and the others are refused
     with the time to wait."""
@@ -256,7 +256,8 @@
 @pytest.mark.usefixtures("stopped_clock")
 def test_late_replies_do_not_let_more_requests_pass(fleet):
     """The machine delays all nodes for longer than they wait for a reply. A second node
-    then counts; still no more than two requests are admitted before all nodes know."""
+    is then coordinator; still no more than two requests are admitted before all nodes
+    know."""
     nodes, greenlets = request_all_at_once(fleet)
     gevent.spawn(time.sleep, 1.5 * ASK_S)
     waits = waits_of(greenlets)
@@ -266,17 +267,17 @@
     assert sum(spent) <= 120.0
 
 
-def test_the_even_part_needs_no_permission(fleet):
+def test_the_even_part_needs_no_grant(fleet):
     exchange = requesting_node(fleet)
     assert exchange.try_spend(TERMS, 3.0) == 0.0
     assert exchange.requests_sent == 0
 
 
 def test_another_node_is_asked_when_the_first_does_not_reply(fleet):
-    """The counting node was killed. If each request asked it until it no longer counts
+    """The coordinator was killed. If each request asked it until it no longer counts
     as live, its organisations' callers would be refused for three seconds."""
     requester = requesting_node(fleet)
-    requester.dead.add(counting_address(MANY_ADDRESSES))
+    requester.dead.add(coordinator_address(MANY_ADDRESSES))
     assert requester.try_spend(TERMS, 60.0) == 0.0
     assert requester.requests_sent == 2
     assert requester.try_spend(TERMS, 30.0) == 0.0
@@ -296,14 +297,14 @@
 def test_an_old_node_of_unknown_spending_gets_no_reply(fleet):
     """What a long-running node had spent before its first message is unknown, so what
     it requests can't be distinguished from what it has spent."""
-    counter = fleet[counting_address(MANY_ADDRESSES)]
+    coordinator = fleet[coordinator_address(MANY_ADDRESSES)]
     total = NodeSpending("127.0.9.9", 3, 5000, 3600.0, "o", 1e6)
-    counter.handle_request(SpendRequest(1, total))
-    assert counter.context.limits.tell().get("o", 0.0) == 0.0
-    assert "127.0.9.9" not in counter.context.limits.peers
+    coordinator.grant(GrantRequest(1, total))
+    assert coordinator.context.limits.tell().get("o", 0.0) == 0.0
+    assert "127.0.9.9" not in coordinator.context.limits.peers
 
 
 def test_a_late_reply_changes_nothing(fleet):
     requester = requesting_node(fleet)
-    requester.handle_message(SpendReply(99, 0.0), "127.0.1.0")
+    requester.handle_message(GrantReply(99, 0.0), "127.0.1.0")
     assert requester.context.limits.tell().get("o", 0.0) == 0.0
