--- a/packages/endive_gateway/src/endive_gateway/ordering.py
+++ b/packages/endive_gateway/src/endive_gateway/autoscaling.py
@@ -7,18 +7,18 @@
     RECLAIMED_BACKOFF_S,
     CapacityView,
     Pool,
+    PoolBackoff,
     PoolState,
-    Refused,
     desired_servers,
 )
 from endive_core.leases import Lease
-from endive_core.load_sizing import USED_PART, LoadMeter
+from endive_core.load_sizing import TARGET_UTILISATION, LoadMeter
 from endive_core.routing import Service
 from endive_node.logs import log_event
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
-from endive_gateway.exceptions import CloudEmptyError, CloudError
+from endive_gateway.exceptions import CloudCapacityError, CloudError
 from endive_gateway.interfaces import Order
 from endive_gateway.peers import Peers
 
@@ -38,7 +38,7 @@
 its entry every 1.2 s, and the entries are read every 0.7 s. An order whose servers are
 missing then is sent again."""
 
-UNMEASURED_S = 8.0
+LOAD_WARM_UP_S = 8.0
 """Time of traffic after which the measured load is trusted, seconds. Until then the
 number of servers at the start is the lower bound."""
 
@@ -62,7 +62,7 @@
 """Time after the first read of the servers' entries until the registry counts as
 complete, seconds: each server writes its entry every 1.2 s."""
 
-LEAST_NEEDED = 1.6
+MIN_NEEDED_SERVERS = 1.6
 """Lower bound of the needed servers at any load. With fewer, a single crash would leave
 one server."""
 
@@ -100,7 +100,7 @@
         self.initial_servers: dict[str, int] = {}
         self.traffic_since: float | None = None
         self.accepted: dict[tuple[str, Pool], tuple[int, float]] = {}
-        self.backoffs: dict[tuple[str, Pool], Refused] = {}
+        self.backoffs: dict[tuple[str, Pool], PoolBackoff] = {}
         self.next_try_at = 0.0
         self.reclaimed_at: dict[str, float] = {}
         self.scale_in_since: dict[tuple[str, Pool], float] = {}
@@ -131,7 +131,7 @@
         as many as the servers registered so far require. They take 4 s to start while
         on-demand ones run, and more can be ordered at the next step.
         """
-        if now < self.next_try_at or not self.context.registry.known_once:
+        if now < self.next_try_at or not self.context.registry.is_loaded:
             return
         settled = self._is_settled(now)
         for service in self._scaled_services():
@@ -153,7 +153,7 @@
 
         Every node does this, so that a new holder knows the load of the last seconds.
         """
-        total: dict[str, float] = dict(self.context.work.told)
+        total: dict[str, float] = dict(self.context.work.smoothed)
         for peer in self.peers.live():
             for service, work in peer.work.items():
                 total[service] = total.get(service, 0.0) + work
@@ -165,7 +165,9 @@
     def needed(self, service: Service, now: float) -> float:
         """Return the number of servers that the service's load requires."""
         load = self.load_meters.get(service.name)
-        needed = max(LEAST_NEEDED, load.peak() / USED_PART if load else 0.0)
+        needed = max(
+            MIN_NEEDED_SERVERS, load.peak() / TARGET_UTILISATION if load else 0.0
+        )
         if self._is_measured(now):
             return needed
         if self.traffic_since is None:
@@ -174,7 +176,7 @@
 
     def _is_measured(self, now: float) -> bool:
         since = self.traffic_since
-        return since is not None and now - since >= UNMEASURED_S
+        return since is not None and now - since >= LOAD_WARM_UP_S
 
     def _is_settled(self, now: float) -> bool:
         """Return whether the running servers have had time to register.
@@ -298,7 +300,7 @@
         order = Order(service.name, pool.zone, servers, pool.reclaimable)
         try:
             self.context.cloud.order(node, lease.fence, order)
-        except CloudEmptyError:
+        except CloudCapacityError:
             self._note_refusal(key, backoff, now)
             return
         except CloudError as error:
@@ -323,10 +325,10 @@
             return ORDER_REPEAT_S
         return min(ORDER_REPEAT_S, service.scaling.boot_s + REGISTRATION_S)
 
-    def _note_refusal(self, key, backoff: Refused | None, now: float) -> None:
+    def _note_refusal(self, key, backoff: PoolBackoff | None, now: float) -> None:
         pause = RECLAIMED_BACKOFF_S
         if backoff is not None:
             pause = min(MAX_BACKOFF_S, 2 * backoff.pause_s)
-        self.backoffs[key] = Refused(now + pause, pause)
+        self.backoffs[key] = PoolBackoff(now + pause, pause)
         self.accepted.pop(key, None)
         log_event("order_refused", service=key[0], pool=key[1], pause_s=pause)
--- a/packages/endive_gateway/src/endive_gateway/configuration.py
+++ b/packages/endive_gateway/src/endive_gateway/configuration.py
@@ -6,7 +6,11 @@
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
-from endive_gateway.exceptions import StoreError, StoreForgottenError, UndecodableError
+from endive_gateway.exceptions import (
+    StoreError,
+    StoreOffsetOutOfRangeError,
+    UndecodableError,
+)
 from endive_gateway.following import Follower, Readers
 from endive_gateway.interfaces import Record, Topic
 from endive_gateway.loops import keep_running
@@ -128,7 +132,7 @@
             return max(MIN_CHECK_INTERVAL_S, left_s)
         try:
             self._read_now()
-        except StoreForgottenError:
+        except StoreOffsetOutOfRangeError:
             self.synced = False
             return MIN_CHECK_INTERVAL_S
         except StoreError as error:
@@ -147,8 +151,10 @@
         when the store is available again.
         """
         nodes = 1 if self.readers is None else self.readers.live_node_count()
-        turns_s = self.freshness.turns_s(nodes) * self.context.random.uniform(0.7, 1.3)
-        pause_s = max(self._next_backoff_s(), turns_s)
+        retry_delay_s = self.freshness.retry_delay_s(
+            nodes
+        ) * self.context.random.uniform(0.7, 1.3)
+        pause_s = max(self._next_backoff_s(), retry_delay_s)
         return max(MIN_CHECK_INTERVAL_S, read_started_at + pause_s - boot_time())
 
     def _read_now(self) -> None:
--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -11,17 +11,17 @@
 from endive_core.leases import DutyKind, DutyLog, DutyRecord, Lease
 from endive_node.logs import log_event
 
+from endive_gateway.autoscaling import Autoscaler
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
 from endive_gateway.exceptions import (
     CloudError,
     StoreConflictError,
     StoreError,
-    StoreForgottenError,
-    StoreUncertainError,
+    StoreOffsetOutOfRangeError,
+    StoreOutcomeUnknownError,
 )
 from endive_gateway.interfaces import Topic
-from endive_gateway.ordering import Autoscaler
 from endive_gateway.peers import Peers
 
 LEASE_S = 2.4
@@ -36,7 +36,7 @@
 RENEW_BEFORE_END_S = 1.1
 """Remaining lease at which the holder renews, seconds: enough for two attempts."""
 
-STEP_S = 0.25
+DUTY_INTERVAL_S = 0.25
 """Time between two steps of a holder or candidate, seconds."""
 
 RANK_DELAY_S = 0.4
@@ -72,7 +72,7 @@
         self.context = context
         self.peers = peers
         self.autoscaler = autoscaler
-        self.node_name = context.settings.place.node
+        self.node_name = context.settings.location.node
         self.log = DutyLog(lease_s=LEASE_S, margin_s=LEASE_MARGIN_S)
         self.lease = Lease()
         self.eligible = True
@@ -88,7 +88,7 @@
         while True:
             try:
                 self.step()
-            except StoreForgottenError as error:
+            except StoreOffsetOutOfRangeError as error:
                 self.next_offset = error.first
             except StoreConflictError:
                 self._read_ignoring_errors()
@@ -98,7 +98,7 @@
             self.autoscaler.sample_load(boot_time())
             self.peers.fence = self.lease.fence if self._is_holder() else 0
             self.peers.observe_duty_log_end(self.log.end)
-            gevent.sleep(STEP_S)
+            gevent.sleep(DUTY_INTERVAL_S)
 
     def step(self) -> None:
         """Act once, as holder or as candidate.
@@ -114,7 +114,7 @@
             if self.lease.fence:
                 log_event("duties_lost", fence=self.lease.fence)
                 self.lease.drop()
-            if self.eligible and self._is_due():
+            if self.eligible and self._should_claim():
                 self._try_claim()
 
     def _is_holder(self) -> bool:
@@ -122,7 +122,7 @@
 
     # Claiming
 
-    def _is_due(self) -> bool:
+    def _should_claim(self) -> bool:
         """Return whether there has been no holder for as long as this node must wait.
 
         A holder that dies, or whose calls the store rejects, still counts as live and
@@ -160,7 +160,9 @@
 
     def _try_claim(self) -> None:
         if self.peers.duty_log_moved_at is not None:
-            self.log.hear_end(self.peers.duty_log_end, self.peers.duty_log_moved_at)
+            self.log.observe_peer_end(
+                self.peers.duty_log_end, self.peers.duty_log_moved_at
+            )
         self._read()
         if not self.log.may_claim(self.node_name, boot_time()):
             return
@@ -219,7 +221,7 @@
             offset = self.context.store.append(
                 Topic.DUTIES, msgspec.json.encode(record), at=at
             )
-        except (StoreConflictError, StoreUncertainError):
+        except (StoreConflictError, StoreOutcomeUnknownError):
             self._read()
             if self.last_record == record:
                 return self.log.end - 1
@@ -228,7 +230,7 @@
             raise
         self.log.fold(offset, record)
         self.next_offset = offset + 1
-        self.log.see_end(self.next_offset, boot_time())
+        self.log.observe_end(self.next_offset, boot_time())
         return offset
 
     def _make_record(self, kind: DutyKind, body: dict) -> DutyRecord:
@@ -254,12 +256,12 @@
                 continue
             self.last_record = record
             self.log.fold(entry.offset, record)
-        self.log.see_end(page.end, boot_time())
+        self.log.observe_end(page.end, boot_time())
 
     def _read_ignoring_errors(self) -> None:
         try:
             self._read()
-        except StoreForgottenError as error:
+        except StoreOffsetOutOfRangeError as error:
             self.next_offset = error.first
         except StoreError as error:
             log_event("duties_store_failed", error=error)
@@ -270,7 +272,7 @@
         """Record and report each usage window after its end and the report delay."""
         if time.monotonic() < self.next_try_at:
             return
-        settled = self.context.true_time.now() - REPORT_DELAY_S
+        settled = self.context.cluster_clock.now() - REPORT_DELAY_S
         newest = self.context.meter.window_of(settled) - 1
         known = max(self.context.reported, self.log.reported)
         for window in range(max(known + 1, self._oldest_window(newest)), newest + 1):
@@ -288,7 +290,7 @@
         bounds = self.context.settings.bounds
         late = int(bounds.usage_late_s // bounds.usage_window_s)
         ran_for = time.monotonic() - self.context.started_at
-        start = self.context.true_time.now() - ran_for
+        start = self.context.cluster_clock.now() - ran_for
         return max(newest - late, self.context.meter.window_of(start))
 
     def _record_window(self, window: int) -> None:
--- a/packages/endive_gateway/src/endive_gateway/following.py
+++ b/packages/endive_gateway/src/endive_gateway/following.py
@@ -13,10 +13,14 @@
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
-from endive_gateway.exceptions import StoreError, StoreForgottenError, UndecodableError
+from endive_gateway.exceptions import (
+    StoreError,
+    StoreOffsetOutOfRangeError,
+    UndecodableError,
+)
 from endive_gateway.interfaces import Page, Record, ServerDelta, ServerState, Topic
 from endive_gateway.servers import LAPSE_GRACE_S
-from endive_gateway.tellings import pack_changes, unpack_changes
+from endive_gateway.state_messages import pack_changes, unpack_changes
 
 SERVER_READ_INTERVAL_S = 0.7
 """Time between two reads of the servers, seconds. A leaving server may get requests
@@ -131,7 +135,7 @@
                 self._read_newest()
             else:
                 self._read_on()
-        except StoreForgottenError:
+        except StoreOffsetOutOfRangeError:
             log_event("store_forgot", topic=self.topic, next=self.next_offset)
             self.synced = False
             return 0.0
@@ -382,16 +386,16 @@
                 self.dirty |= registry.drop(
                     missing, now, after_outage=self.after_outage
                 )
-        self.dirty |= not registry.known_once
-        registry.known_once = True
+        self.dirty |= not registry.is_loaded
+        registry.is_loaded = True
         self.checkpoints.append((now, self.next_offset))
         if registry.has_lapsed:
             gevent.spawn_later(LAPSE_GRACE_S + TIMER_SLACK_S, self._sweep)
         if self.dirty:
             self.dirty = False
-            registry.changed()
+            registry.notify_listeners()
 
     def _sweep(self) -> None:
         """Drop servers whose grace period is over, without waiting for a read."""
         if self.context.registry.sweep(time.monotonic()):
-            self.context.registry.changed()
+            self.context.registry.notify_listeners()
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -215,7 +215,7 @@
 
 
 @dataclass(slots=True)
-class RequestFacts:
+class RequestMetadata:
     """What the headers of a caller's request state.
 
     Attributes
@@ -241,11 +241,11 @@
     prompt_tokens: int | None = None
     max_tokens: int | None = None
     parts: tuple[PromptPart, ...] = ()
-    last_event: str = ""
+    last_event_id: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
+class ForwardingMetadata:
     """What the gateway adds to a request's headers when it sends it to a server.
 
     Attributes
@@ -265,13 +265,13 @@
     server_id: str
     organisation: str
     left_s: float
-    urgency: int = 5
-    last_event: str = ""
-    copy: str = ""
+    server_priority: int = 5
+    last_event_id: str = ""
+    kv_source: str = ""
 
 
 @dataclass(slots=True)
-class AnswerFacts:
+class ResponseMetadata:
     """What the headers of a server's response state.
 
     Attributes
@@ -285,7 +285,7 @@
     """
 
     request_id: str = ""
-    sealed: bool = False
+    signed: bool = False
     not_run: bool = False
     server_id: str = ""
     running: int | None = None
@@ -294,7 +294,7 @@
 
 
 @dataclass(frozen=True)
-class ServerAnswer:
+class ServerResponse:
     """A complete response of a server."""
 
     status: int
@@ -306,29 +306,32 @@
 class Wire(Protocol):
     """Translates the platform's headers and stored documents to the gateway's types."""
 
-    def decode_request(self, headers: Headers) -> RequestFacts:
+    def decode_request(self, headers: Headers) -> RequestMetadata:
         """Decode a caller's headers; raises :class:`BadHeaderError`."""
         ...
 
     def encode_request(
-        self, headers: Headers, facts: RequestFacts, sending: Sending
+        self,
+        headers: Headers,
+        metadata: RequestMetadata,
+        forwarding: ForwardingMetadata,
     ) -> Headers:
         """Return the headers for a server.
 
         Headers that a caller may not set for a server are removed from the caller's,
-        and those in `sending` are added.
+        and those in `forwarding` are added.
         """
         ...
 
-    def kept(self) -> frozenset[bytes]:
+    def end_to_end_headers(self) -> frozenset[bytes]:
         """Return the names that a ``Connection`` header can't remove, in lower case."""
         ...
 
-    def decode_answer(self, headers: Headers) -> AnswerFacts:
+    def decode_response(self, headers: Headers) -> ResponseMetadata:
         """Decode the headers of a server's response."""
         ...
 
-    def own_answer(self, facts: RequestFacts) -> Headers:
+    def own_response_headers(self, metadata: RequestMetadata) -> Headers:
         """Return the headers of a response that the gateway generates itself."""
         ...
 
@@ -367,7 +370,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class NodeLocation:
     """Name, addresses and zone of this node, and addresses of possible peers.
 
     Attributes
@@ -402,7 +405,7 @@
         Names of the duties that the nodes perform, ``usage`` and ``scale``.
     """
 
-    place: Place
+    location: NodeLocation
     bounds: Bounds = Bounds()
     duties: frozenset[str] = frozenset()
 
--- a/packages/endive_gateway/src/endive_gateway/listing.py
+++ b/packages/endive_gateway/src/endive_gateway/listing.py
@@ -44,8 +44,8 @@
         self, context: Context, on_addresses: Callable[[list[str]], None]
     ) -> None:
         self.context = context
-        self.node = context.settings.place.node
-        self.address = context.settings.place.address
+        self.node = context.settings.location.node
+        self.address = context.settings.location.address
         self.on_addresses = on_addresses
         self.is_read = Event()
 
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -13,22 +13,22 @@
 
 import gevent
 from endive_core.crashes import Crash
-from endive_core.sharing import SILENT_S, Spender
+from endive_core.shared_limits import SILENCE_TIMEOUT_S, SpendingOrigin
 from endive_node.logs import log_event
 from gevent.event import Event
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.configuration import ConfigurationFollower
+from endive_gateway.configuration_exchange import ConfigurationExchange
 from endive_gateway.context import Context
 from endive_gateway.datagrams import DatagramPort
-from endive_gateway.documents import ConfigurationExchange
 from endive_gateway.following import ServerFollower
 from endive_gateway.listing import NodeList
 from endive_gateway.nodes import Peer
-from endive_gateway.tellings import DECODER, StateMessage
+from endive_gateway.state_messages import DECODER, StateMessage
 
-TELL_S = 0.2
-TELL_PER_NODE_S = 0.01
+BROADCAST_INTERVAL_S = 0.2
+BROADCAST_INTERVAL_PER_NODE_S = 0.01
 """Time between two state messages to the same peer, seconds: at least, and for each
 known node. A node then sends and receives fewer than 200 datagrams a second in total at
 any number of nodes. The shared rate limits are counted over 8 s."""
@@ -96,10 +96,10 @@
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        place = context.settings.place
-        self.node_name = place.node
-        self.address = place.address
-        self.port = place.peer_port
+        location = context.settings.location
+        self.node_name = location.node
+        self.address = location.address
+        self.port = location.peer_port
         self.known: dict[str, Peer] = {}
         self.sequence = 0
         self.fence = 0
@@ -114,7 +114,7 @@
         self.loops: list[gevent.Greenlet] = []
         self.servers: ServerFollower | None = None
         self.configuration: ConfigurationFollower | None = None
-        for seed in place.seeds:
+        for seed in location.seeds:
             self._add_peer(seed)
 
     def start(self) -> None:
@@ -200,7 +200,7 @@
         for address in addresses:
             known = address in self.known
             if self._add_peer(address) is not None and not known:
-                self.context.limits.expect(address, time.monotonic())
+                self.context.limits.add_peer(address, time.monotonic())
         self.context.set_nodes(len(self.known) + 1)
         self.send_state()
 
@@ -217,7 +217,7 @@
     def _broadcast_loop(self) -> None:
         while True:
             nodes = len(self.known) + 1
-            gap = max(TELL_S, TELL_PER_NODE_S * nodes)
+            gap = max(BROADCAST_INTERVAL_S, BROADCAST_INTERVAL_PER_NODE_S * nodes)
             self._set_timeouts(gap)
             gap *= self.context.random.uniform(0.9, 1.1)
             steps = max(1, -(-(nodes - 1) // DATAGRAMS_PER_STEP))
@@ -234,7 +234,9 @@
         others as silent and reserve half of every limit for them.
         """
         self.live_timeout_s = max(LIVE_TIMEOUT_S, MISSED_BROADCASTS * gap_s)
-        self.context.limits.silent_s = max(SILENT_S, MISSED_BROADCASTS * gap_s)
+        self.context.limits.silence_timeout_s = max(
+            SILENCE_TIMEOUT_S, MISSED_BROADCASTS * gap_s
+        )
 
     def _broadcast_in_steps(self, step_s: float) -> None:
         """Send this node's state to all peers, a few of them every `step_s` seconds.
@@ -277,8 +279,8 @@
 
     def _state_message(self, gone: bool) -> "StateMessage":
         context = self.context
-        for service, parts in context.placer.held_parts().items():
-            context.work.hold(service, parts)
+        for service, parts in context.placer.occupied_servers().items():
+            context.work.set_running(service, parts)
         now = time.monotonic()
         recent = context.placer.crashes.recent(now, limit=MAX_CRASHES)
         return StateMessage(
@@ -288,9 +290,9 @@
             wall_ms=int(time.time() * 1000),
             version=context.version,
             gone=gone,
-            spent=context.limits.tell(),
-            work=context.work.tell(now),
-            windows=context.meter.tell(),
+            spent=context.limits.own_totals(),
+            work=context.work.update(now),
+            windows=context.meter.own_totals(),
             crashes=[
                 (crash.fingerprint, crash.server, now - crash.at) for crash in recent
             ],
@@ -300,9 +302,9 @@
             if self.servers and self.is_reader()
             else None,
             duty_log_end=self.duty_log_end,
-            server_failures=context.placer.suspicions.tell(now),
+            server_failures=context.placer.ejection.own_counts(now),
             age_s=now - context.started_at,
-            pending_prompt_tokens=context.placer.tell_backlogs(),
+            pending_prompt_tokens=context.placer.own_backlogs(),
             proof_age_s=self.configuration.proof_age_s() if self.configuration else -1,
         )
 
@@ -318,7 +320,7 @@
                 "peers", live=live, before=self.logged_live, known=len(self.known)
             )
             self.logged_live = live
-        self.context.limits.forget_silent(now)
+        self.context.limits.remove_silent_peers(now)
         self.context.set_nodes(len(self.known) + 1)
 
     # Receiving
@@ -340,14 +342,14 @@
         context = self.context
         context.reported = max(context.reported, message.reported)
         self.observe_duty_log_end(message.duty_log_end)
-        context.true_time.hear(address, message.wall_ms / 1000)
-        spender = Spender(address, *order, message.age_s)
-        context.limits.hear(spender, message.spent, now)
-        context.meter.hear(address, message.incarnation, message.windows)
+        context.cluster_clock.receive(address, message.wall_ms / 1000)
+        spender = SpendingOrigin(address, *order, message.age_s)
+        context.limits.receive(spender, message.spent, now)
+        context.meter.receive(address, message.incarnation, message.windows)
         for fingerprint, server, age_s in message.crashes:
             context.placer.crashes.add(Crash(fingerprint, server, now - age_s))
-        context.placer.suspicions.hear(address, message.server_failures, now)
-        context.placer.backlogs.hear(address, message.pending_prompt_tokens, now)
+        context.placer.ejection.receive(address, message.server_failures, now)
+        context.placer.backlogs.receive(address, message.pending_prompt_tokens, now)
         if message.version < 0 <= context.version:
             self._greet(peer)
         if message.version > context.version:
@@ -360,7 +362,7 @@
             self.configuration.observe_peer_proof(message.version, message.proof_age_s)
         if message.gone:
             log_event("peer_gone", peer=message.node)
-            context.limits.leave(address)
+            context.limits.remove_peer(address)
             self.known.pop(address, None)
 
     def observe_duty_log_end(self, end: int) -> None:
--- a/packages/endive_gateway/src/endive_gateway/servers.py
+++ b/packages/endive_gateway/src/endive_gateway/servers.py
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self.servers: dict[str, KnownServer] = {}
         self.listeners: list[Callable[[], None]] = []
-        self.known_once = False
+        self.is_loaded = False
 
     def get(self, server_id: str) -> KnownServer | None:
         """Return the server with this id, or ``None`` if it is unknown."""
@@ -131,7 +131,7 @@
             log_event("server_gone", server=server_id, after="grace")
         return bool(over)
 
-    def contradict(self, server_id: str) -> None:
+    def mark_misidentified(self, server_id: str) -> None:
         """Stop using a server until it registers with another address or incarnation.
 
         Called when another server answered at its address.
@@ -140,9 +140,9 @@
         if known is not None and not known.contradicted:
             known.contradicted = True
             log_event("server_contradicted", server=server_id)
-            self.changed()
+            self.notify_listeners()
 
-    def changed(self) -> None:
+    def notify_listeners(self) -> None:
         """Call the listeners."""
         for listener in self.listeners:
             listener()
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -1,7 +1,7 @@
 """Immediate exchange of organisations' spending between gateways.
 
 Each node reports what it spends of a limit at once to the organisation's coordinator,
-one of the nodes. :mod:`endive_core.counting` decides which node that is and when it
+one of the nodes. :mod:`endive_core.limit_coordination` decides which node that is and when it
 informs the others. The messages use a UDP port of their own, so that they don't wait
 for the state messages, nor those for them. The totals in the state messages make up for
 lost reports.
@@ -13,18 +13,18 @@
 
 import gevent
 import msgspec
-from endive_core.counting import (
-    ASK_AGAIN_S,
-    ASK_S,
-    ASKING_NODES,
-    MOST_ASKED,
-    UNASKED_S,
-    SpendingCount,
-    counting_node,
-    may_spend_unasked,
+from endive_core.limit_coordination import (
+    COORDINATOR_BACKOFF_S,
+    GRANT_RETRY_AFTER_S,
+    GRANT_TIMEOUT_S,
+    MAX_GRANT_ATTEMPTS,
+    MAX_NODES_WITHOUT_GRANTS,
+    UnsentSpending,
+    coordinator_for,
+    may_spend_without_grant,
 )
-from endive_core.routing import OrganisationTerms
-from endive_core.sharing import Spender
+from endive_core.routing import OrganisationLimits
+from endive_core.shared_limits import SpendingOrigin
 from endive_node.logs import log_event
 from gevent.event import AsyncResult
 
@@ -60,9 +60,9 @@
     units: float
 
     @property
-    def origin(self) -> Spender:
+    def origin(self) -> SpendingOrigin:
         """The node in the form that the shared limits use."""
-        return Spender(self.address, self.incarnation, self.tellings, self.age_s)
+        return SpendingOrigin(self.address, self.incarnation, self.tellings, self.age_s)
 
 
 class SpendingReport(msgspec.Struct, array_like=True, tag="notes"):
@@ -137,8 +137,8 @@
         self.context = context
         self.peer_addresses = peer_addresses
         self.tellings = tellings
-        self.address = context.settings.place.address
-        self.unsent_spending = SpendingCount()
+        self.address = context.settings.location.address
+        self.unsent_spending = UnsentSpending()
         self.coordinator_cache: dict[str, tuple[list[str], str]] = {}
         self.requests_sent = 0
         self.requested_units: Counter[str] = Counter()
@@ -155,14 +155,14 @@
         """Stop receiving and close the port."""
         self.datagrams.stop()
 
-    def try_spend(self, terms: OrganisationTerms, units: float) -> float:
+    def try_spend(self, terms: OrganisationLimits, units: float) -> float:
         """Spend `units` and return 0 if a request is allowed, else the seconds to wait.
 
-        See :meth:`endive_core.sharing.SharedLimits.wait_s`. In a large fleet a node has
+        See :meth:`endive_core.shared_limits.SharedLimits.wait_s`. In a large fleet a node has
         to request a grant for more than its even part of what is left.
         """
         limits = self.context.limits
-        for _ in range(MOST_ASKED):
+        for _ in range(MAX_GRANT_ATTEMPTS):
             now = time.monotonic()
             left, _ = limits.left(terms.name, now, rate=terms.rate, burst=terms.burst)
             coordinator = self._coordinator(terms.name)
@@ -171,16 +171,16 @@
             wait_s = self._request_grant(coordinator, terms.name, units)
             if wait_s is not None:
                 return wait_s
-        return ASK_AGAIN_S
+        return GRANT_RETRY_AFTER_S
 
     def _needs_grant(self, units: float, left: float) -> bool:
         nodes = len(self.context.limits.peers) + 1
-        if nodes <= ASKING_NODES or left <= 0:
+        if nodes <= MAX_NODES_WITHOUT_GRANTS or left <= 0:
             return False
-        return not may_spend_unasked(units, left=left, nodes=nodes)
+        return not may_spend_without_grant(units, left=left, nodes=nodes)
 
     def _spend_locally(
-        self, terms: OrganisationTerms, units: float, now: float
+        self, terms: OrganisationLimits, units: float, now: float
     ) -> float:
         wait_s = self.context.limits.wait_s(
             terms.name, units, now, rate=terms.rate, burst=terms.burst
@@ -210,7 +210,7 @@
         try:
             total = self._own_entry(organisation, self.requested_units[organisation])
             self._send(GrantRequest(number, total), [coordinator])
-            wait_s = reply.get(timeout=ASK_S)
+            wait_s = reply.get(timeout=GRANT_TIMEOUT_S)
         except gevent.Timeout:
             self._skip_node(coordinator)
             log_event("limit_not_answered", peer=coordinator, organisation=organisation)
@@ -226,7 +226,7 @@
         """Use another coordinator for a while."""
         now = time.monotonic()
         self.skipped_until = {n: t for n, t in self.skipped_until.items() if t > now}
-        self.skipped_until[coordinator] = now + UNASKED_S
+        self.skipped_until[coordinator] = now + COORDINATOR_BACKOFF_S
 
     def grant(self, request: GrantRequest) -> None:
         """Reply to another node's request for a grant.
@@ -269,7 +269,9 @@
         for entry in entries:
             if entry.address == self.address:
                 continue
-            new = limits.note(entry.origin, entry.organisation, entry.units, now)
+            new = limits.apply_update(
+                entry.origin, entry.organisation, entry.units, now
+            )
             coordinator = self._coordinator(entry.organisation)
             if new > 0 and coordinator == self.address:
                 self._add_unsent(entry.organisation, entry.address, new)
@@ -286,7 +288,7 @@
         nodes = [self.address, *candidates]
         known, coordinator = self.coordinator_cache.get(organisation, (None, ""))
         if known != nodes:
-            coordinator = counting_node(organisation, nodes)
+            coordinator = coordinator_for(organisation, nodes)
             self.coordinator_cache[organisation] = nodes, coordinator
         return coordinator
 
@@ -311,16 +313,16 @@
         if address == self.address:
             return self._own_entry(organisation)
         peer = self.context.limits.peers.get(address)
-        if peer is None or organisation not in peer.noted:
+        if peer is None or organisation not in peer.last_updates:
             return None
-        tellings, units = peer.noted[organisation]
-        age_s = time.monotonic() - peer.born_at
+        tellings, units = peer.last_updates[organisation]
+        age_s = time.monotonic() - peer.started_at
         return NodeSpending(
             address, peer.incarnation, tellings, age_s, organisation, units
         )
 
     def _own_entry(self, organisation: str, requested: float = 0.0) -> NodeSpending:
-        units = self.context.limits.tell().get(organisation, 0.0) + requested
+        units = self.context.limits.own_totals().get(organisation, 0.0) + requested
         return NodeSpending(
             self.address,
             self.context.incarnation,
--- a/packages/endive_gateway/tests/test_ordering.py
+++ b/packages/endive_gateway/tests/test_autoscaling.py
@@ -1,13 +1,13 @@
 import pytest
 from endive_core.leases import Lease
 from endive_core.routing import Scaling, Service
-from endive_gateway.interfaces import ServerState
-from endive_gateway.ordering import (
+from endive_gateway.autoscaling import (
     LIST_SETTLE_S,
     REGISTRATION_S,
     SCALE_IN_DELAY_S,
     Autoscaler,
 )
+from endive_gateway.interfaces import ServerState
 from endive_gateway.peers import Peers
 from gateway_builders import make_context, make_entry, make_table
 from store_builders import RecordingCloud
@@ -23,7 +23,7 @@
         table = make_table()
         table.services["s"] = Service("s", scaling=SCALING)
         self.context = make_context(table, cloud=self.cloud)
-        self.context.registry.known_once = True
+        self.context.registry.is_loaded = True
         self.autoscaler = Autoscaler(self.context, Peers(self.context))
         self.now = 1000.0
         self.autoscaler.clock = lambda: self.now
@@ -58,7 +58,7 @@
         before = len(self.cloud.orders)
         end = self.now + seconds
         while self.now < end:
-            self.context.work.told = {"s": work}
+            self.context.work.smoothed = {"s": work}
             self.autoscaler.sample_load(self.now)
             self.autoscaler.step("n1", self.lease, self.now)
             self.now += 0.25
@@ -106,7 +106,7 @@
 
 
 def test_nothing_is_ordered_before_any_server_is_known(fleet):
-    fleet.context.registry.known_once = False
+    fleet.context.registry.is_loaded = False
     assert not fleet.run_for(2.0, work=0.0)
 
 
--- a/packages/endive_gateway/tests/test_documents.py
+++ b/packages/endive_gateway/tests/test_configuration_exchange.py
@@ -3,7 +3,7 @@
 
 import gevent
 import pytest
-from endive_gateway.documents import (
+from endive_gateway.configuration_exchange import (
     MAX_CONCURRENT_SENDS,
     ConfigurationExchange,
     receive_document,
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -6,11 +6,11 @@
 import pytest
 from endive_core.crashes import Crash
 from endive_gateway import peers as peers_module
-from endive_gateway.documents import decompress
-from endive_gateway.exceptions import StoreUncertainError
+from endive_gateway.configuration_exchange import decompress
+from endive_gateway.exceptions import StoreOutcomeUnknownError
 from endive_gateway.interfaces import Topic
 from endive_gateway.peers import Peers
-from endive_gateway.tellings import DECODER, StateMessage
+from endive_gateway.state_messages import DECODER, StateMessage
 from gateway_builders import make_context, make_table
 from store_builders import MemoryStore, store_down
 
@@ -73,7 +73,7 @@
     peers.receive(state_message(), "127.0.0.2")
     peers.receive(state_message(sequence=2, gone=True), "127.0.0.2")
     assert not peers.known
-    assert peers.context.limits.part(time.monotonic() + 5) == 1.0
+    assert peers.context.limits.reachable_share(time.monotonic() + 5) == 1.0
 
 
 def test_listed_nodes_are_presumed_live_before_their_first_message(peers):
@@ -96,11 +96,11 @@
     """A server fails every request. Each of sixty nodes sends it only one in three
     seconds, too few to detect that alone; together they can."""
     placer = peers.context.placer
-    placer.suspicions.failed("i-1", time.monotonic())
+    placer.ejection.failed("i-1", time.monotonic())
     assert peers._state_message(gone=False).server_failures == {"i-1": 1}
     peers.receive(state_message(server_failures={"i-1": 9}), "127.0.0.2")
     servers = [f"i-{number}" for number in range(8)]
-    assert placer.suspicions.suspects(servers, time.monotonic()) == {"i-1"}
+    assert placer.ejection.ejected(servers, time.monotonic()) == {"i-1"}
 
 
 def test_nodes_find_each_other_by_the_store():
@@ -144,8 +144,8 @@
     peers._set_timeouts(0.87)
     peers.receive(state_message(), "127.0.0.2")
     now = time.monotonic()
-    assert peers.context.limits.part(now + 2.0) == 1.0
-    assert peers.context.limits.part(now + 3.0) == 0.5
+    assert peers.context.limits.reachable_share(now + 2.0) == 1.0
+    assert peers.context.limits.reachable_share(now + 3.0) == 0.5
     assert peers.live_timeout_s > 2.5
 
 
@@ -264,7 +264,7 @@
 
     def lose_writes(name):
         if name == "put":
-            raise StoreUncertainError("the answer was lost")
+            raise StoreOutcomeUnknownError("the answer was lost")
 
     store.fault = lose_writes
     node.send_state = lambda **_options: None
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -4,8 +4,8 @@
 import gevent
 import msgspec
 import pytest
-from endive_core.counting import ASK_S, counting_node
-from endive_core.routing import OrganisationTerms
+from endive_core.limit_coordination import GRANT_TIMEOUT_S, coordinator_for
+from endive_core.routing import OrganisationLimits
 from endive_gateway import spending
 from endive_gateway.spending import (
     DECODER,
@@ -17,7 +17,7 @@
 )
 from gateway_builders import make_context, make_route, make_table
 
-TERMS = OrganisationTerms("o", rate=100.0, burst=100.0)
+TERMS = OrganisationLimits("o", rate=100.0, burst=100.0)
 OTHERS = ("127.0.0.2", "127.0.0.3", "127.0.0.4")
 
 
@@ -43,7 +43,7 @@
 
 
 def coordinator_address(addresses):
-    return counting_node("o", addresses)
+    return coordinator_for("o", addresses)
 
 
 def spend(exchange, units):
@@ -116,7 +116,7 @@
     coordinator.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
     origin = coordinator.peer_addresses()[0]
     coordinator.receive_report([entry(origin, 45.0)])
-    coordinator.context.limits.leave(origin)
+    coordinator.context.limits.remove_peer(origin)
     spend(coordinator, 40.0)
     ((entries, _),) = coordinator.sent
     assert [e.address for e in entries] == [coordinator.address]
@@ -138,10 +138,10 @@
     """An organisation is removed while its last requests are admitted."""
     nodes = [coordinator.address, *coordinator.peer_addresses()]
     names = (f"gone-{n}" for n in range(100))
-    gone = next(n for n in names if counting_node(n, nodes) == coordinator.address)
+    gone = next(n for n in names if coordinator_for(n, nodes) == coordinator.address)
     coordinator.context.limits.spend(gone, 5.0)
     coordinator.report_spent(gone, 5.0)
-    assert coordinator.unsent_spending.untold[gone] == {coordinator.address: 5.0}
+    assert coordinator.unsent_spending.unsent[gone] == {coordinator.address: 5.0}
     assert not coordinator.sent
 
 
@@ -168,7 +168,7 @@
         self.fleet = fleet
         self.dead = dead
         for other in peer_addresses:
-            context.limits.expect(other, context.started_at)
+            context.limits.add_peer(other, context.started_at)
 
     def _send(self, message, addresses):
         copy = DECODER.decode(msgspec.msgpack.encode(message))
@@ -221,7 +221,7 @@
 def assert_two_pass(nodes, waits):
     assert waits.count(0.0) == 2
     assert all(0.0 < wait < 1.0 for wait in waits if wait)
-    spent = [exchange.context.limits.tell().get("o", 0.0) for exchange in nodes]
+    spent = [exchange.context.limits.own_totals().get("o", 0.0) for exchange in nodes]
     assert sorted(spent)[-3:] == [0.0, 60.0, 60.0]
 
 
@@ -232,7 +232,7 @@
     admitted, since a limit may go below zero by one request, and the others are refused
     with the time to wait."""
     # No reply is late here, however long the machine delays this process.
-    monkeypatch.setattr(spending, "ASK_S", 1.5)
+    monkeypatch.setattr(spending, "GRANT_TIMEOUT_S", 1.5)
     nodes, greenlets = request_all_at_once(fleet)
     assert_two_pass(nodes, waits_of(greenlets))
 
@@ -241,7 +241,7 @@
 def test_slow_datagrams_do_not_let_more_requests_pass(fleet, monkeypatch):
     """Each datagram takes 10 ms to send, so the last node gets its reply long after the
     first has spent. No more requests are admitted because of that."""
-    monkeypatch.setattr(spending, "ASK_S", 1.5)
+    monkeypatch.setattr(spending, "GRANT_TIMEOUT_S", 1.5)
     send = ConnectedExchange._send
 
     def send_slowly(exchange, message, addresses):
@@ -259,11 +259,11 @@
     is then coordinator; still no more than two requests are admitted before all nodes
     know."""
     nodes, greenlets = request_all_at_once(fleet)
-    gevent.spawn(time.sleep, 1.5 * ASK_S)
+    gevent.spawn(time.sleep, 1.5 * GRANT_TIMEOUT_S)
     waits = waits_of(greenlets)
     assert waits.count(0.0) <= 2
     assert all(0.0 < wait < 1.0 for wait in waits if wait)
-    spent = [exchange.context.limits.tell().get("o", 0.0) for exchange in nodes]
+    spent = [exchange.context.limits.own_totals().get("o", 0.0) for exchange in nodes]
     assert sum(spent) <= 120.0
 
 
@@ -290,7 +290,7 @@
     requester = requesting_node(fleet)
     requester.dead.update(MANY_ADDRESSES)
     assert requester.try_spend(TERMS, 60.0) > 0.0
-    assert requester.context.limits.tell().get("o", 0.0) == 0.0
+    assert requester.context.limits.own_totals().get("o", 0.0) == 0.0
     assert not requester.pending_replies
 
 
@@ -300,11 +300,11 @@
     coordinator = fleet[coordinator_address(MANY_ADDRESSES)]
     total = NodeSpending("127.0.9.9", 3, 5000, 3600.0, "o", 1e6)
     coordinator.grant(GrantRequest(1, total))
-    assert coordinator.context.limits.tell().get("o", 0.0) == 0.0
+    assert coordinator.context.limits.own_totals().get("o", 0.0) == 0.0
     assert "127.0.9.9" not in coordinator.context.limits.peers
 
 
 def test_a_late_reply_changes_nothing(fleet):
     requester = requesting_node(fleet)
     requester.handle_message(GrantReply(99, 0.0), "127.0.1.0")
-    assert requester.context.limits.tell().get("o", 0.0) == 0.0
+    assert requester.context.limits.own_totals().get("o", 0.0) == 0.0
