--- a/packages/endive_core/src/endive_core/exceptions.py
+++ b/packages/endive_core/src/endive_core/exceptions.py
@@ -1,8 +1,8 @@
 """The closed list of error kinds, the table from kind to answer, and the exceptions.
 
 Everything that can go wrong for a caller or an operator is one :class:`ErrorKind`.
-The table :data:`ERROR_RESPONSES` says once, for all of the code, which HTTP status a kind
-gets, whether the request ran, and when it is worth coming back.
+The table :data:`ERROR_RESPONSES` says once, for all of the code, which HTTP status a
+kind gets, whether the request ran, and when it is worth coming back.
 """
 
 from dataclasses import dataclass
