--- a/packages/endive_gateway/src/endive_gateway/autoscaling.py
+++ b/packages/endive_gateway/src/endive_gateway/autoscaling.py
@@ -80,7 +80,7 @@
         When load was first measured.
     accepted : dict
         By service and pool, the number of servers last ordered and the time of that.
-    refusals : dict
+    backoffs : dict
         By service and pool, until when the cloud is not asked again.
     reclaimed_at : dict of str to float
         By service, when a zone last lost all its reclaimable servers.
--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -48,7 +48,7 @@
 
     Parameters
     ----------
-    callers_port : socket or None
+    caller_socket : socket or None
         Listening, non-blocking socket for callers, if the process opened it already.
     """
 
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -230,7 +230,7 @@
         Length of the prompt, and of the longest response, in tokens.
     parts : tuple of PromptPart
         Parts of the prompt that other requests may share.
-    last_event : str
+    last_event_id : str
         Id of the last event that the caller has received, if it resumes a stream.
     """
 
@@ -254,11 +254,11 @@
         The intended server; any other one refuses the request.
     left_s : float
         Seconds that are left for the request.
-    urgency : int
+    server_priority : int
         Priority at the server; 0 is admitted first.
-    last_event : str
+    last_event_id : str
         Id of the event after which the stream resumes; empty for a new run.
-    copy : str
+    kv_source : str
         Where a copy of the run's KV cache is stored; empty if there is none.
     """
 
@@ -276,7 +276,7 @@
 
     Attributes
     ----------
-    sealed : bool
+    signed : bool
         Whether the response carries the server's signature.
     not_run : bool
         Whether the server states that it did not run the request.
--- a/packages/endive_gateway/src/endive_gateway/servers.py
+++ b/packages/endive_gateway/src/endive_gateway/servers.py
@@ -44,7 +44,7 @@
     ----------
     listeners : list of callable
         Called without arguments after a change.
-    known_once : bool
+    is_loaded : bool
         Whether the servers have been read from the store at least once.
     """
 
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -1,10 +1,10 @@
 """Immediate exchange of organisations' spending between gateways.
 
 Each node reports what it spends of a limit at once to the organisation's coordinator,
-one of the nodes. :mod:`endive_core.limit_coordination` decides which node that is and when it
-informs the others. The messages use a UDP port of their own, so that they don't wait
-for the state messages, nor those for them. The totals in the state messages make up for
-lost reports.
+one of the nodes. :mod:`endive_core.limit_coordination` decides which node that is and
+when it informs the others. The messages use a UDP port of their own, so that they don't
+wait for the state messages, nor those for them. The totals in the state messages make
+up for lost reports.
 """
 
 import time
@@ -44,7 +44,7 @@
         IP address of the node that spent it.
     incarnation : int
         Differs with each start of that node.
-    tellings : int
+    messages_sent : int
         Number of state messages that the node had sent by then.
     age_s : float
         Seconds since that node started.
@@ -54,7 +54,7 @@
 
     address: str
     incarnation: int
-    tellings: int
+    messages_sent: int
     age_s: float
     organisation: str
     units: float
@@ -62,7 +62,9 @@
     @property
     def origin(self) -> SpendingOrigin:
         """The node in the form that the shared limits use."""
-        return SpendingOrigin(self.address, self.incarnation, self.tellings, self.age_s)
+        return SpendingOrigin(
+            self.address, self.incarnation, self.messages_sent, self.age_s
+        )
 
 
 class SpendingReport(msgspec.Struct, array_like=True, tag="notes"):
@@ -109,7 +111,7 @@
     ----------
     peer_addresses : callable
         Returns the addresses of the other nodes that are presumed to be live.
-    tellings : callable
+    messages_sent : callable
         Returns the number of state messages that this node has sent.
 
     Attributes
@@ -132,11 +134,11 @@
         self,
         context: Context,
         peer_addresses: Callable[[], list[str]],
-        tellings: Callable[[], int],
+        messages_sent: Callable[[], int],
     ) -> None:
         self.context = context
         self.peer_addresses = peer_addresses
-        self.tellings = tellings
+        self.messages_sent = messages_sent
         self.address = context.settings.location.address
         self.unsent_spending = UnsentSpending()
         self.coordinator_cache: dict[str, tuple[list[str], str]] = {}
@@ -158,8 +160,8 @@
     def try_spend(self, terms: OrganisationLimits, units: float) -> float:
         """Spend `units` and return 0 if a request is allowed, else the seconds to wait.
 
-        See :meth:`endive_core.shared_limits.SharedLimits.wait_s`. In a large fleet a node has
-        to request a grant for more than its even part of what is left.
+        See :meth:`endive_core.shared_limits.SharedLimits.wait_s`. In a large fleet a
+        node has to request a grant for more than its even part of the rest.
         """
         limits = self.context.limits
         for _ in range(MAX_GRANT_ATTEMPTS):
@@ -315,10 +317,10 @@
         peer = self.context.limits.peers.get(address)
         if peer is None or organisation not in peer.last_updates:
             return None
-        tellings, units = peer.last_updates[organisation]
+        messages_sent, units = peer.last_updates[organisation]
         age_s = time.monotonic() - peer.started_at
         return NodeSpending(
-            address, peer.incarnation, tellings, age_s, organisation, units
+            address, peer.incarnation, messages_sent, age_s, organisation, units
         )
 
     def _own_entry(self, organisation: str, requested: float = 0.0) -> NodeSpending:
@@ -326,7 +328,7 @@
         return NodeSpending(
             self.address,
             self.context.incarnation,
-            self.tellings(),
+            self.messages_sent(),
             time.monotonic() - self.context.started_at,
             organisation,
             units,
--- a/packages/endive_gateway/tests/server_builders.py
+++ b/packages/endive_gateway/tests/server_builders.py
@@ -90,7 +90,7 @@
 failing = answer(500, b"failed")
 
 
-def close_connection(sock, _seen):
+def close_connection(sock, _received):
     """Close the connection without a response, as a crash does."""
     sock.close()
     return False
@@ -141,6 +141,6 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def unresponsive(_sock, _seen):
+def unresponsive(_sock, _received):
     """Send no response within 30 s."""
     gevent.sleep(30)
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -61,8 +61,8 @@
     return make_exchange(address, nodes)
 
 
-def entry(address, units, *, tellings=1, incarnation=3):
-    return NodeSpending(address, incarnation, tellings, 0.5, "o", units)
+def entry(address, units, *, messages_sent=1, incarnation=3):
+    return NodeSpending(address, incarnation, messages_sent, 0.5, "o", units)
 
 
 def test_entries_survive_encoding_and_many_fit_one_frame():
@@ -79,7 +79,7 @@
     exchange = make_exchange(reporter, [node for node in nodes if node != reporter])
     spend(exchange, 10.0)
     spend(exchange, 5.0)
-    assert [(e.units, e.tellings, to) for (e,), to in exchange.sent] == [
+    assert [(e.units, e.messages_sent, to) for (e,), to in exchange.sent] == [
         (10.0, 7, [address]),
         (15.0, 7, [address]),
     ]
