--- a/packages/endive_gateway/src/endive_gateway/configuration_exchange.py
+++ b/packages/endive_gateway/src/endive_gateway/configuration_exchange.py
@@ -62,6 +62,8 @@
 configuration from a peer, seconds: time for one attempt and part of another."""
 
 MAX_DOCUMENT_BYTES = 16_777_216
+"""Largest configuration that is accepted, compressed or decompressed, bytes."""
+
 LENGTH_PREFIX = struct.Struct(">I")
 
 
@@ -169,7 +171,9 @@
 
     def _pull_from(self, source: Source, port: int, timeout_s: float) -> None:
         try:
-            with gevent.Timeout(timeout_s, TimeoutError("pull")):
+            with gevent.Timeout(
+                timeout_s, TimeoutError("configuration transfer timed out")
+            ):
                 document = receive_document(source.address, port)
             table = self.context.wire.decode_configuration(document)
             self.context.configure(table, document, source.node)
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -183,7 +183,7 @@
 class ServerDelta:
     """Recent changes of the servers, which a reader relays to the other nodes.
 
-    Datagrams contain the field names.
+    As a dataclass it is encoded with its field names in the datagrams.
 
     Attributes
     ----------
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -191,8 +191,8 @@
 
         It announces that this node has one; `GREETERS` nodes do so on average.
         """
-        holders = 1 + sum(other.version >= 0 for other in self.live())
-        if self.context.random.random() < GREETERS / holders:
+        sources = 1 + sum(other.version >= 0 for other in self.live())
+        if self.context.random.random() < GREETERS / sources:
             self.send_state([peer])
 
     def _add_listed(self, addresses: list[str]) -> None:
@@ -217,25 +217,27 @@
     def _broadcast_loop(self) -> None:
         while True:
             nodes = len(self.known) + 1
-            gap = max(BROADCAST_INTERVAL_S, BROADCAST_INTERVAL_PER_NODE_S * nodes)
-            self._set_timeouts(gap)
-            gap *= self.context.random.uniform(0.9, 1.1)
+            interval_s = max(
+                BROADCAST_INTERVAL_S, BROADCAST_INTERVAL_PER_NODE_S * nodes
+            )
+            self._set_timeouts(interval_s)
+            interval_s *= self.context.random.uniform(0.9, 1.1)
             steps = max(1, -(-(nodes - 1) // DATAGRAMS_PER_STEP))
             if self.urgent.is_set():
                 self.urgent.clear()
-                gap = min(gap, URGENT_STEP_S * steps)
-            self._broadcast_in_steps(gap / steps)
+                interval_s = min(interval_s, URGENT_STEP_S * steps)
+            self._broadcast_in_steps(interval_s / steps)
             self._expire_peers()
 
-    def _set_timeouts(self, gap_s: float) -> None:
+    def _set_timeouts(self, interval_s: float) -> None:
         """Set the time-outs of silent nodes from the time between two messages.
 
         With the time-out of eight nodes, each of 87 nodes would count half of the
         others as silent and reserve half of every limit for them.
         """
-        self.live_timeout_s = max(LIVE_TIMEOUT_S, MISSED_BROADCASTS * gap_s)
+        self.live_timeout_s = max(LIVE_TIMEOUT_S, MISSED_BROADCASTS * interval_s)
         self.context.limits.silence_timeout_s = max(
-            SILENCE_TIMEOUT_S, MISSED_BROADCASTS * gap_s
+            SILENCE_TIMEOUT_S, MISSED_BROADCASTS * interval_s
         )
 
     def _broadcast_in_steps(self, step_s: float) -> None:
@@ -274,8 +276,10 @@
             Whether this node has stopped and this is its last message.
         """
         self.sequence += 1
-        told = list(self.known.values()) if peers is None else peers
-        self.datagrams.send(self._state_message(gone), [peer.address for peer in told])
+        receivers = list(self.known.values()) if peers is None else peers
+        self.datagrams.send(
+            self._state_message(gone), [peer.address for peer in receivers]
+        )
 
     def _state_message(self, gone: bool) -> "StateMessage":
         context = self.context
@@ -343,8 +347,8 @@
         context.reported = max(context.reported, message.reported)
         self.observe_duty_log_end(message.duty_log_end)
         context.cluster_clock.receive(address, message.wall_ms / 1000)
-        spender = SpendingOrigin(address, *order, message.age_s)
-        context.limits.receive(spender, message.spent, now)
+        origin = SpendingOrigin(address, *order, message.age_s)
+        context.limits.receive(origin, message.spent, now)
         context.meter.receive(address, message.incarnation, message.windows)
         for fingerprint, server, age_s in message.crashes:
             context.placer.crashes.add(Crash(fingerprint, server, now - age_s))
