--- a/packages/endive_gateway/tests/store_builders.py
+++ b/packages/endive_gateway/tests/store_builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the gateway: a store and a cloud in memory."""
+"""Builders for tests of the gateway: an in-memory store and a recording cloud."""
 
 import json
 from collections import defaultdict
@@ -15,14 +15,18 @@
 
 
 class MemoryStore:
-    """The platform's store, with faults to order.
+    """An in-memory store with fault injection.
 
     Attributes
     ----------
+    kept_from : dict of Topic to int
+        Oldest offset retained in each topic.
     fault : callable or None
-        Called with the name of each call; may raise what the call then raises.
+        Called with the name of each call; an exception that it raises fails the call.
     lost : list
-        Appends are done and their answers lost while it holds entries.
+        For each entry one append is done although its answer is lost.
+    calls : list of str
+        Names of the calls so far.
     """
 
     def __init__(self):
@@ -80,13 +84,13 @@
     raise StoreError("down")
 
 
-class FewReaders:
-    """Readers among which a node is not."""
+class NonReader:
+    """Readers as a node of a large fleet sees them that isn't a reader itself."""
 
     def is_reader(self):
         return False
 
-    def reads_alone(self):
+    def every_node_reads(self):
         return False
 
     def await_first_configuration(self):
@@ -95,15 +99,15 @@
     def rank(self):
         return 9
 
-    def live_nodes(self):
+    def live_node_count(self):
         return 100
 
-    def hasten(self):
-        self.hastened = True
+    def broadcast_soon(self):
+        self.broadcast_requested = True
 
 
 class RecordingCloud:
-    """The platform's calls, recorded."""
+    """A cloud that records its calls."""
 
     def __init__(self):
         self.usage = []
