--- a/packages/endive_core/src/endive_core/capacity.py
+++ b/packages/endive_core/src/endive_core/capacity.py
@@ -22,14 +22,14 @@
 
 MAX_BACKOFF_S = 4.0
 
-ROUNDED = 0.05
+ROUNDING_TOLERANCE = 0.05
 """Part of a server that may be missing: measured load is no more exact than that."""
 
-WAVE_S = 10.0
+RECLAIM_WAVE_S = 10.0
 """Time after a reclaim in which the other zones are expected to follow, seconds:
 waves came 5 to 6 s apart."""
 
-ZONES_LOST = 2
+TOLERATED_ZONE_LOSSES = 2
 """Zones whose reclaimable servers may go with the rest still enough. Servers ordered at
 the first notice need 4 s and the second zone goes within 5 to 6 s, at a time at which
 the cloud has none to give. With one zone only, a fleet of six servers served 0.83 of
@@ -37,7 +37,7 @@
 one of 45 served 0.67 instead of 0.80 (one play each)."""
 
 ZONES_AT_RISK = 2
-COVERED_PART = 0.5
+COVERED_FRACTION = 0.5
 """Zones more that may go in a wave, and the part of the load that on-demand servers
 must then carry with what is left. They need 4 s to start, and two zones have gone
 within 0.1 s of each other. Compared with one zone at risk, half of the load covered
@@ -108,7 +108,7 @@
         state = self.pools.get(Pool(zone, reclaimable))
         return state.ready if state else 0
 
-    def room(self, zone: str) -> int:
+    def reclaimable_room(self, zone: str) -> int:
         """Return how many reclaimable servers a zone may have beside on-demand ones.
 
         An order for more is taken and not carried out: of twelve servers six came, and
@@ -122,13 +122,13 @@
         return max(beside, self.ordered.get(Pool(zone, True), 0))
 
     @property
-    def in_wave(self) -> bool:
+    def in_reclaim_wave(self) -> bool:
         """Whether further zones may be reclaimed soon, with no new servers to be had.
 
         The zones that were reclaimed are asked again and again; while any refuses, the
         wave has not passed.
         """
-        recent = self.now - self.reclaimed_at < WAVE_S
+        recent = self.now - self.reclaimed_at < RECLAIM_WAVE_S
         return recent or bool(self.refusing_zones())
 
     def refusing_zones(self) -> set[str]:
@@ -141,31 +141,33 @@
     scaling = view.scaling
     zones = sorted(scaling.zone_prices, key=lambda z: (scaling.zone_prices[z], z))
     refusing = view.refusing_zones()
-    each = _reclaimable_each(view.needed, len(zones), scaling)
-    wanted = {
+    per_zone = _reclaimable_per_zone(view.needed, len(zones), scaling)
+    desired = {
         Pool(zone, True): (
-            view.ready(zone, True) if zone in refusing else min(each, view.room(zone))
+            view.ready(zone, True)
+            if zone in refusing
+            else min(per_zone, view.reclaimable_room(zone))
         )
         for zone in zones
     }
-    on_demand = _on_demand(view, zones, wanted)
+    on_demand = _on_demand(view, zones, desired)
     for zone in zones:
-        least = scaling.min_servers - wanted[Pool(zone, True)]
+        minimum = scaling.min_servers - desired[Pool(zone, True)]
         if zone in refusing:
-            least = 0  # what is missing comes back, and makes up for it
-        wanted[Pool(zone, False)] = max(on_demand[zone], least)
-    return wanted
+            minimum = 0  # what is missing comes back, and makes up for it
+        desired[Pool(zone, False)] = max(on_demand[zone], minimum)
+    return desired
 
 
-def _reclaimable_each(needed: float, zones: int, scaling: Scaling) -> int:
+def _reclaimable_per_zone(needed: float, zones: int, scaling: Scaling) -> int:
     """Return the reclaimable servers of each zone that carry the load without some."""
-    servers = max(1, math.ceil(needed - ROUNDED))
-    each = math.ceil(servers / max(1, zones - ZONES_LOST))
-    return max(scaling.min_servers, min(each, scaling.max_servers))
+    servers = max(1, math.ceil(needed - ROUNDING_TOLERANCE))
+    per_zone = math.ceil(servers / max(1, zones - TOLERATED_ZONE_LOSSES))
+    return max(scaling.min_servers, min(per_zone, scaling.max_servers))
 
 
 def _on_demand(
-    view: CapacityView, zones: list[str], wanted: Mapping[Pool, int]
+    view: CapacityView, zones: list[str], desired: Mapping[Pool, int]
 ) -> dict[str, int]:
     """Return the on-demand servers by zone that make up for missing reclaimable ones.
 
@@ -177,28 +179,28 @@
     again.
     """
     ready = {zone: view.ready(zone, True) for zone in zones}
-    coming = {zone: max(wanted[Pool(zone, True)], ready[zone]) for zone in zones}
+    expected = {zone: max(desired[Pool(zone, True)], ready[zone]) for zone in zones}
     placed = {zone: view.ordered.get(Pool(zone, False), 0) for zone in zones}
-    least = _missing(view, coming.values())
-    most = max(least, _missing(view, ready.values()))
-    while sum(placed.values()) > most:
+    minimum = _shortfall(view, expected.values())
+    maximum = max(minimum, _shortfall(view, ready.values()))
+    while sum(placed.values()) > maximum:
         dearest = [zone for zone in zones if placed[zone]][-1]
         placed[dearest] -= 1
-    while sum(placed.values()) < least:
-        most_each = view.scaling.max_servers
-        open_zones = [z for z in zones if placed[z] + coming[z] < most_each]
+    while sum(placed.values()) < minimum:
+        max_per_zone = view.scaling.max_servers
+        open_zones = [z for z in zones if placed[z] + expected[z] < max_per_zone]
         if not open_zones:
             break
         placed[min(open_zones, key=lambda zone: placed[zone])] += 1
     return placed
 
 
-def _missing(view: CapacityView, by_zone: Iterable[int]) -> int:
+def _shortfall(view: CapacityView, by_zone: Iterable[int]) -> int:
     """Return the servers missing beside reclaimable ones, so many in each zone."""
     counts = list(by_zone)
-    there = sum(counts)
-    missing = view.needed - there
-    if view.in_wave:
-        left = there - sum(sorted(counts)[-ZONES_AT_RISK:])
-        missing = max(missing, COVERED_PART * view.needed - left)
-    return max(0, math.ceil(missing - ROUNDED))
+    total = sum(counts)
+    shortfall = view.needed - total
+    if view.in_reclaim_wave:
+        remaining = total - sum(sorted(counts)[-ZONES_AT_RISK:])
+        shortfall = max(shortfall, COVERED_FRACTION * view.needed - remaining)
+    return max(0, math.ceil(shortfall - ROUNDING_TOLERANCE))
--- a/packages/endive_core/src/endive_core/clocks.py
+++ b/packages/endive_core/src/endive_core/clocks.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from statistics import median
 
-HEARD_S = 3.0
+MAX_READING_AGE_S = 3.0
 """Age up to which another node's clock counts, seconds; steady clocks drift by far
 less in that time, and a node that is gone must not hold a vote."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class ClockReading:
     """One node's time of day less this node's steady clock."""
 
     offset: float
@@ -32,23 +32,25 @@
         This node's steady clock and time of day, seconds.
     """
 
-    def __init__(self, steady: Callable[[], float], wall: Callable[[], float]) -> None:
-        self.steady = steady
-        self.wall = wall
-        self.readings: dict[str, Reading] = {}
+    def __init__(
+        self, monotonic: Callable[[], float], wall_time: Callable[[], float]
+    ) -> None:
+        self.monotonic = monotonic
+        self.wall_time = wall_time
+        self.readings: dict[str, ClockReading] = {}
 
-    def hear(self, node: str, wall: float) -> None:
+    def hear(self, node: str, wall_time: float) -> None:
         """Take over another node's time of day, a network delay old."""
-        now = self.steady()
-        self.readings[node] = Reading(wall - now, now)
+        now = self.monotonic()
+        self.readings[node] = ClockReading(wall_time - now, now)
 
     def now(self) -> float:
         """Return seconds since the start of 1970."""
-        steady = self.steady()
-        offsets = [self.wall() - steady]
+        monotonic = self.monotonic()
+        offsets = [self.wall_time() - monotonic]
         for node, reading in list(self.readings.items()):
-            if steady - reading.at > HEARD_S:
+            if monotonic - reading.at > MAX_READING_AGE_S:
                 del self.readings[node]
             else:
                 offsets.append(reading.offset)
-        return steady + median(offsets)
+        return monotonic + median(offsets)
--- a/packages/endive_core/src/endive_core/failures.py
+++ b/packages/endive_core/src/endive_core/failures.py
@@ -12,10 +12,10 @@
 if TYPE_CHECKING:
     from endive_core.resources import Deployment
 
-FAILURES = (RetryReason.CONNECT_FAILED, RetryReason.SERVER_FAILED)
+PAUSE_REASONS = (RetryReason.CONNECT_FAILED, RetryReason.SERVER_FAILED)
 """Reasons after which a server gets no work for a while."""
 
-MAX_BLAMED = 64
+MAX_TRACKED_CRASHES = 64
 """Crashes whose suspects are kept while their broken streams come in one by one."""
 
 
@@ -35,7 +35,7 @@
         self.random = random
         self.budgets: dict[str, RetryBudget] = {}
         self.running: dict[str, set[Ticket]] = {}
-        self.blamed: dict[str, set[Ticket]] = {}
+        self.crash_suspects: dict[str, set[Ticket]] = {}
         self.paused: list[ServerLoad] = []
 
     def set_deployments(self, deployments: dict[str, "Deployment"]) -> None:
@@ -55,11 +55,11 @@
 
     def suspect(self, ticket: Ticket, crashed: str, now: float) -> None:
         """Count a server's crash against `ticket` if it may have caused it."""
-        if crashed and self._is_blamed(ticket, crashed):
+        if crashed and self._may_have_caused(ticket, crashed):
             self.crashes.add(Crash(ticket.call.fingerprint, crashed, now))
             ticket.suspect = True
 
-    def _is_blamed(self, ticket: Ticket, crashed: str) -> bool:
+    def _may_have_caused(self, ticket: Ticket, crashed: str) -> bool:
         """Return whether `ticket` may have caused the crash that ended it.
 
         All that ran on the server broke, but what was starting is the likeliest
@@ -67,21 +67,23 @@
         reclaimed, and no request is to blame. Blaming every stream would refuse
         innocent ones after the second reclaimed zone.
         """
-        if crashed not in self.blamed:
+        if crashed not in self.crash_suspects:
             running = self.running.get(ticket.server, set())
             starting = {t for t in running if t.stage is Stage.DISPATCHED}
             server = self.servers.servers.get(ticket.server)
             leaving = server is not None and server.view.leaving
-            self.blamed[crashed] = set() if leaving else starting or set(running)
-            if len(self.blamed) > MAX_BLAMED:
-                del self.blamed[next(iter(self.blamed))]
-        return ticket in self.blamed[crashed]
+            self.crash_suspects[crashed] = (
+                set() if leaving else starting or set(running)
+            )
+            if len(self.crash_suspects) > MAX_TRACKED_CRASHES:
+                del self.crash_suspects[next(iter(self.crash_suspects))]
+        return ticket in self.crash_suspects[crashed]
 
     def blame(self, server: ServerLoad, reason: RetryReason, now: float) -> None:
         """Give a server that failed no work for a while."""
         if reason is RetryReason.SERVER_BUSY:
-            self.servers.busy(server)
-        elif reason in FAILURES and self.servers.pause(server):
+            self.servers.mark_full(server)
+        elif reason in PAUSE_REASONS and self.servers.pause(server):
             pause = self.policy.failed_pause_s * 2 ** min(server.failures - 1, 16)
             pause = min(pause, self.policy.max_failed_pause_s)
             server.view.failed_until = now + pause
@@ -104,12 +106,12 @@
         max_attempts: int,
     ) -> Retry | Refusal:
         """Return whether and when `ticket` may be queued again."""
-        refusal = self._no_retry(ticket, now, started, max_attempts)
+        refusal = self._retry_refusal(ticket, now, started, max_attempts)
         if refusal is not None:
             return refusal
         return Retry(retry_delay_s(ticket.attempt, self.policy, self.random))
 
-    def _no_retry(
+    def _retry_refusal(
         self,
         ticket: Ticket,
         now: float,
--- a/packages/endive_core/src/endive_core/findings.py
+++ b/packages/endive_core/src/endive_core/findings.py
@@ -22,12 +22,12 @@
         case BackendServerService():
             return _service_findings(catalogue, name, resource)
         case ModelVersion():
-            return _unused(
+            return _finding_unless(
                 any(d.version == name for d in catalogue.deployments.values()),
                 "no deployment names this model version",
             )
         case Organisation():
-            return _unused(
+            return _finding_unless(
                 bool(resource.caller_key_hashes),
                 "it has no caller_key_hashes, so its callers can't be told apart",
             )
@@ -78,5 +78,5 @@
     return found
 
 
-def _unused(used: bool, sentence: str) -> list[str]:
-    return [] if used else [sentence]
+def _finding_unless(holds: bool, finding: str) -> list[str]:
+    return [] if holds else [finding]
--- a/packages/endive_core/src/endive_core/first_tokens.py
+++ b/packages/endive_core/src/endive_core/first_tokens.py
@@ -11,7 +11,7 @@
 from endive_core.rates import ServiceRate
 from endive_core.servers import ServerLoad, ServerSet
 
-RATES_EVERY_S = 1.0
+RATE_UPDATE_INTERVAL_S = 1.0
 """How often the learned prefill rate is taken over, seconds; it changes over some
 twenty."""
 
@@ -36,13 +36,13 @@
         self.rate = rate
         self.outliers = outliers
         self.prefill = prefill
-        self.next_rates_at = 0.0
+        self.next_rate_update_at = 0.0
 
     def take_rate(self, now: float) -> None:
         """Let placement and admission reckon with the rate; one pass over all."""
-        if self.prefill is None or now < self.next_rates_at:
+        if self.prefill is None or now < self.next_rate_update_at:
             return
-        self.next_rates_at = now + RATES_EVERY_S
+        self.next_rate_update_at = now + RATE_UPDATE_INTERVAL_S
         tokens_per_s = self.prefill.tokens_per_s
         for server in self.servers.servers.values():
             server.view.prefill_tokens_per_s = tokens_per_s
--- a/packages/endive_core/src/endive_core/load_sizing.py
+++ b/packages/endive_core/src/endive_core/load_sizing.py
@@ -6,7 +6,7 @@
 """Part of a server's time that the highest load of late may use. Above it prompts queue
 behind one another and first tokens come late."""
 
-PEAK_MEMORY_S = 20.0
+PEAK_WINDOW_S = 20.0
 """Time for which the highest load counts, seconds: a wave's half period, so that
 servers are not given back in a trough that lasts shorter than they take to start."""
 
@@ -17,14 +17,14 @@
     Work is seconds of one server's time. All nodes' work is summed by whoever decides.
     """
 
-    def __init__(self, memory_s: float = PEAK_MEMORY_S) -> None:
-        self.memory_s = memory_s
+    def __init__(self, window_s: float = PEAK_WINDOW_S) -> None:
+        self.window_s = window_s
         self.samples: deque[tuple[float, float]] = deque()
 
     def add(self, work: float, now: float) -> None:
         """Take in the fleet's work a second at `now`."""
         self.samples.append((now, work))
-        while self.samples and self.samples[0][0] < now - self.memory_s:
+        while self.samples and self.samples[0][0] < now - self.window_s:
             self.samples.popleft()
 
     def peak(self) -> float:
--- a/packages/endive_core/src/endive_core/outliers.py
+++ b/packages/endive_core/src/endive_core/outliers.py
@@ -22,11 +22,11 @@
 failure in one run of seven, instead of 5 to 11. A server is compared as soon as it has
 enough itself."""
 
-SOON_S = 0.1
+COMPARISON_RETRY_S = 0.1
 """Time until the next look while too few servers have answered to compare them,
 seconds."""
 
-FAILED_RATIO = 10.0
+FAILURE_LATENCY_RATIO = 10.0
 """Latency, as a multiple of the expected one, that an answered failure counts as. A
 server that fails two in five while its peers fail one in twenty then stands at three
 times their median and is marked; where all fail alike, the median rises and none is.
@@ -53,20 +53,20 @@
     def __init__(self, policy: Policy, servers: ServerSet) -> None:
         self.policy = policy
         self.servers = servers
-        self.next_at = 0.0
+        self.next_comparison_at = 0.0
         self.slow: list[ServerLoad] = []
         self.suspicions: Suspicions | None = None
         self.suspects: set[str] = set()
 
     def observe(self, server: ServerLoad, *, seconds: float, expected_s: float) -> None:
         """Take in one latency of `server`."""
-        ratio = min(FAILED_RATIO, seconds / max(expected_s, 1e-3))
+        ratio = min(FAILURE_LATENCY_RATIO, seconds / max(expected_s, 1e-3))
         weight = self.policy.latency_smoothing
         if server.samples < MIN_SAMPLES:
             weight = 1 / (server.samples + 1)
         server.samples += 1
         if server.samples == MIN_SAMPLES:
-            self.next_at = 0.0
+            self.next_comparison_at = 0.0
         server.latency_ratio += weight * (ratio - server.latency_ratio)
 
     def failed(self, server: ServerLoad) -> None:
@@ -75,7 +75,7 @@
         Some servers fail part of their requests while they look healthy, and quickly:
         by its latency alone such a server is the best of all.
         """
-        self.observe(server, seconds=FAILED_RATIO, expected_s=1.0)
+        self.observe(server, seconds=FAILURE_LATENCY_RATIO, expected_s=1.0)
 
     def compare(self, now: float) -> None:
         """Set each server's slowness, if it is time to; costs one pass over all.
@@ -83,26 +83,26 @@
         At most a share of the servers is marked: with most of them "slow" the cause
         lies elsewhere, and the rest could not carry the load.
         """
-        if now < self.next_at:
+        if now < self.next_comparison_at:
             return
-        self.next_at = now + self.policy.compare_every_s
-        self._suspect(now)
+        self.next_comparison_at = now + self.policy.compare_every_s
+        self._update_suspects(now)
         servers = self.servers.servers.values()
         peers = [s for s in servers if s.samples >= MIN_PEER_SAMPLES]
         if len(peers) < 3:
-            self.next_at = now + SOON_S
+            self.next_comparison_at = now + COMPARISON_RETRY_S
             return
         judged = [s for s in peers if s.samples >= MIN_SAMPLES]
-        middle = max(1e-6, median(server.latency_ratio for server in peers))
+        peer_median = max(1e-6, median(server.latency_ratio for server in peers))
         for server in judged:
-            server.slowness = max(1.0, server.latency_ratio / middle)
-        most = int(len(peers) * self.policy.max_slow_share)
+            server.slowness = max(1.0, server.latency_ratio / peer_median)
+        max_slow = int(len(peers) * self.policy.max_slow_share)
         worst = sorted(judged, key=lambda s: s.slowness, reverse=True)
         for position, server in enumerate(worst):
-            slow = position < most and server.slowness >= self.policy.slow_ratio
+            slow = position < max_slow and server.slowness >= self.policy.slow_ratio
             self._mark(server, slow or server.id in self.suspects, now)
 
-    def _suspect(self, now: float) -> None:
+    def _update_suspects(self, now: float) -> None:
         """Mark the servers that fail under all nodes together."""
         if self.suspicions is None:
             return
--- a/packages/endive_core/src/endive_core/placement.py
+++ b/packages/endive_core/src/endive_core/placement.py
@@ -25,12 +25,12 @@
 that one organisation's calls all meet on one server, or too long for a short one. With
 two, a conversation that grows past a depth still meets its last turn's server."""
 
-KNOWN_HOLDERS = 2
+MAX_HOLDER_CANDIDATES = 2
 """Servers tried because they are believed to hold the longest known prefix."""
 
 
 @dataclass(frozen=True, slots=True)
-class Outlook:
+class StartPrediction:
     """What a call may expect at a server.
 
     Attributes
@@ -45,7 +45,7 @@
     yields: bool
 
 
-IN_TURN = Outlook(0.0, yields=False)
+ON_TIME = StartPrediction(0.0, yields=False)
 
 
 class Placement:
@@ -75,7 +75,7 @@
         """Return the best server with room, or ``None`` if no candidate has any."""
         call = ticket.call
         cached = self.prefixes.prefix_holders(call.blocks)
-        hashed = self._hashed(call) if call.blocks else {}
+        hashed = self._affinity_servers(call) if call.blocks else {}
         expected = {
             name: max(cached.get(name, 0), int(depth * self.policy.affinity_belief))
             for name, depth in hashed.items()
@@ -83,7 +83,7 @@
         expected = cached | expected
         best, best_score = None, 0.0
         for server in self._candidates(
-            ticket, [*islice(cached, KNOWN_HOLDERS), *hashed], tier
+            ticket, [*islice(cached, MAX_HOLDER_CANDIDATES), *hashed], tier
         ):
             if tier and server.prefill_paced_until > now + self.policy.prefill_burst_s:
                 continue
@@ -145,7 +145,7 @@
                 found.append(server)
         return found
 
-    def _hashed(self, call: Call) -> dict[str, int]:
+    def _affinity_servers(self, call: Call) -> dict[str, int]:
         """Return the servers that the deepest affinity depths hash to, with the depth.
 
         They are believed to hold part of the prefix, though no event said so: every
@@ -203,7 +203,9 @@
         allowed = self._all_allowed(ticket, tier)
         return min(allowed, key=lambda s: self.wait_s(s, now), default=None)
 
-    def outlook(self, ticket: Ticket, server: ServerLoad, now: float) -> Outlook:
+    def outlook(
+        self, ticket: Ticket, server: ServerLoad, now: float
+    ) -> StartPrediction:
         """Return what a call may expect at `server`.
 
         The load this is for: reclaims leave fewer servers than the load needs. Engines
@@ -218,19 +220,19 @@
         waited already.
         """
         if self.backlogs is None or ticket.attempt:
-            return IN_TURN
+            return ON_TIME
         rate = server.view.prefill_tokens_per_s
         wait_s = self.wait_s(server, now)
         begins_s = wait_s + ticket.uncached_tokens / rate
-        yields = self._yields(ticket, wait_s, begins_s, now)
+        yields = self._should_yield(ticket, wait_s, begins_s, now)
         deadline = ticket.call.deadline
         if deadline is None:
-            return Outlook(0.0, yields)
+            return StartPrediction(0.0, yields)
         if yields:
             begins_s += self.servers.yielding_at(server) / rate
-        return Outlook(max(0.0, now + begins_s - deadline), yields)
+        return StartPrediction(max(0.0, now + begins_s - deadline), yields)
 
-    def _yields(
+    def _should_yield(
         self, ticket: Ticket, wait_s: float, begins_s: float, now: float
     ) -> bool:
         """Return whether a call goes behind all others at its server.
--- a/packages/endive_core/src/endive_core/prefilling.py
+++ b/packages/endive_core/src/endive_core/prefilling.py
@@ -16,7 +16,7 @@
 39,000, 63,000 and 75,000. Too low a guess costs some servers more for as long as it
 takes to learn, too high a one callers' time."""
 
-MEMORY = 0.01
+SMOOTHING = 0.01
 """Weight of the newest first token: about the last hundred count, some twenty seconds
 of a node with 5 requests a second, so that a wave of reclaims, with its long waits, is
 not mistaken for slower engines."""
@@ -26,12 +26,12 @@
 """First tokens, and how far their prompts differ in length, that weigh as much as the
 guess: after ten seconds of such a node the learned rate counts for most."""
 
-MOST_TIMES_EXPECTED = 2.0
-LEAST_BOUND_S = 1.0
+MAX_TIMES_EXPECTED = 2.0
+MIN_BOUND_S = 1.0
 """A first token counts as no later than so many times what was expected, or this: a
 server that hangs for ten seconds says nothing of prompts."""
 
-FARTHEST = 20.0
+MAX_FACTOR_FROM_PRIOR = 20.0
 """Factor by which the learned rate may differ from the guess."""
 
 
@@ -56,16 +56,18 @@
         """Take in the time to a first token of a prompt with `tokens` to compute."""
         if self.samples:
             expected = self.mean_s + (tokens - self.mean_tokens) * self.token_s
-            bound = max(LEAST_BOUND_S, MOST_TIMES_EXPECTED * expected)
+            bound = max(MIN_BOUND_S, MAX_TIMES_EXPECTED * expected)
             seconds = min(seconds, bound)
-        self.samples = min(self.samples + 1, 1 / MEMORY)
+        self.samples = min(self.samples + 1, 1 / SMOOTHING)
         weight = 1 / self.samples
-        off_tokens, off_s = tokens - self.mean_tokens, seconds - self.mean_s
-        self.mean_tokens += weight * off_tokens
-        self.mean_s += weight * off_s
-        kept = 1 - weight
-        self.variance = kept * (self.variance + weight * off_tokens**2)
-        self.covariance = kept * (self.covariance + weight * off_tokens * off_s)
+        deviation_tokens, deviation_s = tokens - self.mean_tokens, seconds - self.mean_s
+        self.mean_tokens += weight * deviation_tokens
+        self.mean_s += weight * deviation_s
+        decay = 1 - weight
+        self.variance = decay * (self.variance + weight * deviation_tokens**2)
+        self.covariance = decay * (
+            self.covariance + weight * deviation_tokens * deviation_s
+        )
 
     @property
     def token_s(self) -> float:
@@ -73,7 +75,10 @@
         prior = PRIOR_SAMPLES * PRIOR_DEVIATION_TOKENS**2
         learned = self.samples * self.covariance + prior * self.prior_s
         slope = learned / (self.samples * self.variance + prior)
-        return min(max(slope, self.prior_s / FARTHEST), self.prior_s * FARTHEST)
+        return min(
+            max(slope, self.prior_s / MAX_FACTOR_FROM_PRIOR),
+            self.prior_s * MAX_FACTOR_FROM_PRIOR,
+        )
 
     @property
     def tokens_per_s(self) -> float:
--- a/packages/endive_core/src/endive_core/prefixes.py
+++ b/packages/endive_core/src/endive_core/prefixes.py
@@ -13,7 +13,7 @@
 """Leading blocks hashed, 4,096 tokens: what lies beyond seldom tells two prompts apart
 that were equal so far, and the hashing of a long prompt stays cheap."""
 
-SAMPLING = 4
+SAMPLING_INTERVAL = 4
 """One block in four is remembered. The prefix known to be cached is then up to three
 blocks too short (48 tokens, 2 ms of prefill), for a quarter of the memory."""
 
@@ -51,7 +51,8 @@
     parent, end = model, 0
     for part_id, tokens in parts:
         hashed = xxhash.xxh3_64_intdigest(f"{parent}\0{part_id}".encode())
-        blocks.append(hashed - hashed % SAMPLING)  # few and long: remember them all
+        # Parts are few and long: rounded, all of them are sampled.
+        blocks.append(hashed - hashed % SAMPLING_INTERVAL)
         parent = f"{hashed:016x}"
         end += tokens
         ends.append(end)
@@ -87,7 +88,7 @@
     def add(self, server: str, blocks: Iterable[int]) -> None:
         """Believe that `server` holds `blocks`."""
         for block in blocks:
-            if block % SAMPLING:
+            if block % SAMPLING_INTERVAL:
                 continue
             holders = self.holders(block)
             if server in holders:
@@ -136,7 +137,7 @@
         """
         found: dict[str, int] = {}
         for depth in range(len(blocks), 0, -1):
-            if blocks[depth - 1] % SAMPLING:
+            if blocks[depth - 1] % SAMPLING_INTERVAL:
                 continue
             for server in reversed(self.holders(blocks[depth - 1])):
                 found.setdefault(server, depth)
--- a/packages/endive_core/src/endive_core/routing.py
+++ b/packages/endive_core/src/endive_core/routing.py
@@ -68,10 +68,10 @@
 
     def choose(self, draw: float) -> str:
         """Return the service for a request; `draw` is uniform from 0 up to 1."""
-        left = draw * sum(split.weight for split in self.splits)
+        remaining = draw * sum(split.weight for split in self.splits)
         for split in self.splits:
-            left -= split.weight
-            if left < 0:
+            remaining -= split.weight
+            if remaining < 0:
                 return split.service
         return self.splits[-1].service
 
--- a/packages/endive_core/src/endive_core/servers.py
+++ b/packages/endive_core/src/endive_core/servers.py
@@ -58,10 +58,10 @@
 
     view: ServerView
     reserved: tuple[int, int, int] = (0, 0, 0)
-    divided: int = 1
+    divided_slots: int = 1
     grants: list[int] = field(default_factory=lambda: [0, 0, 0])
-    changes: deque = field(default_factory=deque)
-    change: int = 0
+    recent_changes: deque = field(default_factory=deque)
+    net_change: int = 0
     starting_tokens: float = 0.0
     yielding_tokens: float = 0.0
     starting_suspects: int = 0
@@ -85,7 +85,7 @@
         view = self.view
         return max(
             view.in_flight,
-            view.reported_running + view.reported_waiting + self.change,
+            view.reported_running + view.reported_waiting + self.net_change,
         )
 
     @property
@@ -99,18 +99,18 @@
         view = self.view
         return view.max_concurrent - view.reported_running - view.reported_waiting
 
-    def granted(self, tier: Tier) -> int:
+    def remaining_grant(self, tier: Tier) -> int:
         """Return how many requests this node may send from its part of the slots."""
-        return self.grants[tier] - self.change
+        return self.grants[tier] - self.net_change
 
-    def plenty(self, tier: Tier) -> int:
+    def uncontended_slots(self, tier: Tier) -> int:
         """Return the free slots beyond those that the nodes divide."""
-        return self.free - self.change - self.divided - self.reserved[tier]
+        return self.free - self.net_change - self.divided_slots - self.reserved[tier]
 
     def note(self, sign: int, now: float) -> None:
         """Count an own send (+1) or end (-1) at `now`."""
-        self.changes.append((now, sign))
-        self.change += sign
+        self.recent_changes.append((now, sign))
+        self.net_change += sign
         self.view.in_flight += sign
         self.view.sent_since_report += sign > 0
 
@@ -136,11 +136,11 @@
         self.divided_share = divided_share
         self.giving_way = giving_way
         self.servers: dict[str, ServerLoad] = {}
-        self.open = {tier: MemberList() for tier in Tier}
-        self.taking = MemberList()
+        self.open = {tier: ServerIndex() for tier in Tier}
+        self.taking = ServerIndex()
         self.nodes = 1
         self.own_total = 0
-        self.change_total = 0
+        self.net_change_total = 0
         self.reported_total = 0
         self.slots_total = 0
         self.yielding_total = 0.0
@@ -156,16 +156,16 @@
             self.servers[server_id] = ServerLoad(declared[server_id])
         self.slots_total = sum(view.max_concurrent for view in declared.values())
         for server in self.servers.values():
-            self._size(server)
+            self._set_reservations(server)
         return bool(gone or new)
 
-    def _size(self, server: ServerLoad) -> None:
+    def _set_reservations(self, server: ServerLoad) -> None:
         slots = server.view.max_concurrent
         reserved = round(slots * self.reserved_share)
         if self.reserved_share and slots > 1:
             reserved = max(1, reserved)
         server.reserved = (0, 2 * reserved // 3, reserved)
-        server.divided = max(1, round(slots * self.divided_share))
+        server.divided_slots = max(1, round(slots * self.divided_share))
         self._grant(server)
 
     def _remove(self, server: ServerLoad) -> None:
@@ -173,7 +173,7 @@
         self.servers.pop(view.id)
         self.reported_total -= view.reported_running + view.reported_waiting
         self.own_total -= view.in_flight
-        self.change_total -= server.change
+        self.net_change_total -= server.net_change
         self.yielding_total -= server.yielding_tokens
         for members in (*self.open.values(), self.taking):
             members.discard(server)
@@ -187,7 +187,7 @@
         this node's part of the reported load. What was sent since the reports is left
         out on both sides: the others' is not known.
         """
-        own = max(0, self.own_total - self.change_total)
+        own = max(0, self.own_total - self.net_change_total)
         total = max(own, self.reported_total)
         return min(1.0, (own + 1) / (total + self.nodes))
 
@@ -211,11 +211,11 @@
         self.reported_total += running + waiting
         self.reported_total -= view.reported_running + view.reported_waiting
         view.reported_running, view.reported_waiting = running, waiting
-        while server.changes and server.changes[0][0] <= as_of:
-            sign = server.changes.popleft()[1]
-            server.change -= sign
-            self.change_total -= sign
-        view.sent_since_report = sum(sign > 0 for _, sign in server.changes)
+        while server.recent_changes and server.recent_changes[0][0] <= as_of:
+            sign = server.recent_changes.popleft()[1]
+            server.net_change -= sign
+            self.net_change_total -= sign
+        view.sent_since_report = sum(sign > 0 for _, sign in server.recent_changes)
         self._grant(server)
 
     def _grant(self, server: ServerLoad) -> None:
@@ -224,28 +224,28 @@
             free = server.free - server.reserved[tier]
             if free < 0 and tier:
                 free *= self.giving_way
-            server.grants[tier] = self._rounded(free * share)
+            server.grants[tier] = self._round_at_random(free * share)
         self.refresh(server)
 
-    def _rounded(self, value: float) -> int:
+    def _round_at_random(self, value: float) -> int:
         """Round at random, so that the nodes' parts add up to the whole on average."""
         whole = int(value // 1)
         return whole + (self.random.random() < value - whole)
 
-    def busy(self, server: ServerLoad) -> None:
+    def mark_full(self, server: ServerLoad) -> None:
         """Expect no room until the next report: the server has just refused."""
         view = server.view
-        server.grants = [min(grant, server.change) for grant in server.grants]
+        server.grants = [min(grant, server.net_change) for grant in server.grants]
         waiting = view.reported_waiting
-        self.reported_total += max(0, server.free - server.change)
-        view.reported_waiting = waiting + max(0, server.free - server.change)
+        self.reported_total += max(0, server.free - server.net_change)
+        view.reported_waiting = waiting + max(0, server.free - server.net_change)
         self.refresh(server)
 
     def note(self, server: ServerLoad, sign: int, now: float) -> None:
         """Count an own send or end at `server`."""
         server.note(sign, now)
         self.own_total += sign
-        self.change_total += sign
+        self.net_change_total += sign
         self.refresh(server)
 
     def note_prompt(
@@ -270,10 +270,10 @@
 
     def has_room(self, server: ServerLoad, tier: Tier) -> bool:
         """Return whether this node may send a call of `tier` to `server` now."""
-        if server.granted(tier) > 0:
+        if server.remaining_grant(tier) > 0:
             return True
-        plenty = server.plenty(tier)
-        return plenty > 0 and plenty > self._taken_by_others(server)
+        uncontended = server.uncontended_slots(tier)
+        return uncontended > 0 and uncontended > self._taken_by_others(server)
 
     def _taken_by_others(self, server: ServerLoad) -> float:
         """Return the slots of `server` that other nodes presumably took by now.
@@ -288,7 +288,7 @@
         came, and a fifth of the requests waited for a second in vain.
         """
         free = max(1, self.slots_total - self.reported_total)
-        growth = max(0, self.change_total) + min(1.0, self.mean_utilisation)
+        growth = max(0, self.net_change_total) + min(1.0, self.mean_utilisation)
         growth *= 1 / self.share - 1
         return growth * max(0, server.free) / free
 
@@ -331,17 +331,19 @@
             self.taking.add(server)
         else:
             self.taking.discard(server)
-        trying = server.failures > 0 and server.view.in_flight > 0
-        usable = taking and not server.slow and not trying
+        probing = server.failures > 0 and server.view.in_flight > 0
+        usable = taking and not server.slow and not probing
         for tier, members in self.open.items():
-            room = server.granted(tier) > 0 or server.plenty(tier) > 0
+            room = (
+                server.remaining_grant(tier) > 0 or server.uncontended_slots(tier) > 0
+            )
             if usable and room:
                 members.add(server)
             else:
                 members.discard(server)
 
 
-class MemberList:
+class ServerIndex:
     """A set with constant-time random choice."""
 
     def __init__(self) -> None:
--- a/packages/endive_core/src/endive_core/shifting.py
+++ b/packages/endive_core/src/endive_core/shifting.py
@@ -61,8 +61,8 @@
     finishing: list[Shift] = []
     moving: list[Ticket] = []
     for ticket in tickets:
-        left = ticket.call.max_tokens - ticket.tokens
-        if left / decode_tokens_per_s <= budget:
+        remaining_tokens = ticket.call.max_tokens - ticket.tokens
+        if remaining_tokens / decode_tokens_per_s <= budget:
             finishing.append(Shift(ticket, ShiftMethod.FINISH))
         else:
             moving.append(ticket)
@@ -70,10 +70,10 @@
     shifts = []
     used = 0.0
     for ticket in moving:
-        takes = recompute_tokens(ticket) / export_tokens_per_s
-        if used + takes <= budget:
+        export_s = recompute_tokens(ticket) / export_tokens_per_s
+        if used + export_s <= budget:
             shifts.append(Shift(ticket, ShiftMethod.EXPORT, used))
-            used += takes
+            used += export_s
         elif ticket.call.non_idempotent:
             finishing.append(Shift(ticket, ShiftMethod.FINISH))
         else:
--- a/packages/endive_core/tests/test_capacity.py
+++ b/packages/endive_core/tests/test_capacity.py
@@ -2,8 +2,8 @@
 from dataclasses import replace
 
 from endive_core.capacity import (
-    COVERED_PART,
-    WAVE_S,
+    COVERED_FRACTION,
+    RECLAIM_WAVE_S,
     CapacityView,
     Pool,
     PoolState,
@@ -112,7 +112,7 @@
     Should the others go too, within the same second, callers must meet servers until
     more have started."""
     options = {"reclaimed_at": 99.0}
-    covered = math.ceil(COVERED_PART * 5.0)
+    covered = math.ceil(COVERED_FRACTION * 5.0)
     wanted = decide(5.0, {"a": 5, "b": 5}, refused=refused_in("c"), **options)
     assert sum(by_kind(wanted, False).values()) == covered
     wanted = decide(5.0, {"a": 5}, refused=refused_in("b", "c"), **options)
@@ -126,7 +126,7 @@
     options = {"scaling": scaling(zone_prices=prices, max_servers=23)}
     ready = {"a": 0, "b": 13, "c": 13, "d": 8}
     wanted = decide(26.0, ready, refused=refused_in(*"abcd"), **options)
-    covered = math.ceil(COVERED_PART * 26.0)
+    covered = math.ceil(COVERED_FRACTION * 26.0)
     assert sum(by_kind(wanted, False).values()) == covered - 8
     ready["b"] = 0
     wanted = decide(26.0, ready, refused=refused_in(*"abcd"), **options)
@@ -143,7 +143,7 @@
 
 def test_after_the_wave_nothing_more_is_covered():
     ready = {"a": 3, "b": 0, "c": 0}
-    wanted = decide(3.0, ready, reclaimed_at=100.0 - WAVE_S - 1)
+    wanted = decide(3.0, ready, reclaimed_at=100.0 - RECLAIM_WAVE_S - 1)
     assert sum(by_kind(wanted, False).values()) == 0
 
 
--- a/packages/endive_core/tests/test_clocks.py
+++ b/packages/endive_core/tests/test_clocks.py
@@ -1,13 +1,13 @@
-from endive_core.clocks import HEARD_S, TrueTime
+from endive_core.clocks import MAX_READING_AGE_S, TrueTime
 
 
 class Clocks:
     def __init__(self):
-        self.steady = 100.0
-        self.wall = 1_000_000.0
+        self.monotonic = 100.0
+        self.wall_time = 1_000_000.0
 
     def made(self):
-        return TrueTime(lambda: self.steady, lambda: self.wall)
+        return TrueTime(lambda: self.monotonic, lambda: self.wall_time)
 
 
 def test_a_clock_that_jumped_is_outvoted():
@@ -17,15 +17,17 @@
     made = clocks.made()
     for node in "abc":
         made.hear(node, 1_000_000.1)
-    clocks.wall += 2400.0
+    clocks.wall_time += 2400.0
     assert abs(made.now() - 1_000_000.1) < 0.2
 
 
 def test_others_that_jumped_are_outvoted():
     clocks = Clocks()
     made = clocks.made()
-    for node, wall in zip("abc", (1_000_000.0, 1_002_400.0, 1_000_000.2), strict=True):
-        made.hear(node, wall)
+    for node, wall_time in zip(
+        "abc", (1_000_000.0, 1_002_400.0, 1_000_000.2), strict=True
+    ):
+        made.hear(node, wall_time)
     assert abs(made.now() - 1_000_000.1) < 0.2
 
 
@@ -34,6 +36,6 @@
     made = clocks.made()
     made.hear("a", 5.0)
     made.hear("b", 5.0)
-    clocks.steady += HEARD_S + 1
-    clocks.wall += HEARD_S + 1
-    assert made.now() == clocks.wall
+    clocks.monotonic += MAX_READING_AGE_S + 1
+    clocks.wall_time += MAX_READING_AGE_S + 1
+    assert made.now() == clocks.wall_time
--- a/packages/endive_core/tests/test_outliers.py
+++ b/packages/endive_core/tests/test_outliers.py
@@ -5,7 +5,7 @@
 from endive_core.outliers import MIN_SAMPLES, OutlierDetector
 from endive_core.policy import Policy
 from endive_core.servers import ServerSet
-from endive_core.suspicions import HOLD_S, Suspicions
+from endive_core.suspicions import BASE_EJECTION_S, Suspicions
 
 
 def detector(latencies):
@@ -135,5 +135,5 @@
     made.compare(2.0)
     assert "s2" not in made.servers.open[Tier.WITHIN_SHARE].positions
     assert made.probe(4.5) is None
-    made.compare(2.0 + HOLD_S + 0.1)
+    made.compare(2.0 + BASE_EJECTION_S + 0.1)
     assert "s2" in made.servers.open[Tier.WITHIN_SHARE].positions
--- a/packages/endive_core/tests/test_prefilling.py
+++ b/packages/endive_core/tests/test_prefilling.py
@@ -2,7 +2,7 @@
 
 import pytest
 from core_builders import call, dispatch_all, scheduler
-from endive_core.prefilling import FARTHEST, PrefillRate
+from endive_core.prefilling import MAX_FACTOR_FROM_PRIOR, PrefillRate
 
 
 def first_tokens(count, token_s, *, wait_s=0.0, seed=1):
@@ -63,7 +63,7 @@
     rate = PrefillRate(50_000.0)
     for tokens in range(0, 50_000, 50):
         rate.learn(float(tokens), 1.0 - tokens * 1e-5)
-    assert rate.tokens_per_s == pytest.approx(50_000.0 * FARTHEST)
+    assert rate.tokens_per_s == pytest.approx(50_000.0 * MAX_FACTOR_FROM_PRIOR)
 
 
 def test_placement_and_admission_reckon_with_what_is_learned():
--- a/packages/endive_core/tests/test_prefixes.py
+++ b/packages/endive_core/tests/test_prefixes.py
@@ -1,6 +1,11 @@
-from endive_core.prefixes import SAMPLING, PrefixIndex, part_blocks, prefix_blocks
+from endive_core.prefixes import (
+    SAMPLING_INTERVAL,
+    PrefixIndex,
+    part_blocks,
+    prefix_blocks,
+)
 
-BLOCKS = tuple(range(0, 40 * SAMPLING, SAMPLING))
+BLOCKS = tuple(range(0, 40 * SAMPLING_INTERVAL, SAMPLING_INTERVAL))
 
 
 def test_equal_prefixes_have_equal_blocks_and_others_none_in_common():
@@ -31,7 +36,7 @@
 
 def test_index_is_bounded_and_keeps_the_newest():
     index = PrefixIndex(max_blocks=20)
-    index.add("s0", range(0, 4000, SAMPLING))
+    index.add("s0", range(0, 4000, SAMPLING_INTERVAL))
     assert len(index) <= 1000
     index.add("s1", BLOCKS[:5])
     assert index.prefix_holders(BLOCKS[:5])["s1"] == 5
--- a/packages/endive_core/tests/test_suspicions.py
+++ b/packages/endive_core/tests/test_suspicions.py
@@ -2,12 +2,12 @@
 
 import pytest
 from endive_core.suspicions import (
-    HOLD_S,
-    LEAST_FAILURES,
-    LEAST_SERVERS,
-    MOST_SHARE,
-    MOST_TOLD,
-    RATIO,
+    BASE_EJECTION_S,
+    FAILURE_RATIO,
+    MAX_EJECTED_SHARE,
+    MAX_REPORTED_SERVERS,
+    MIN_FAILURES,
+    MIN_SERVERS,
     WINDOW_S,
     Suspicions,
 )
@@ -75,9 +75,9 @@
     """A fault that all share, such as bad requests, would else leave the load to a few
     servers, one after the other."""
     made = Suspicions()
-    made.hear("b", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
-    made.hear("c", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
-    made.hear("d", {"s1": int(RATIO)}, 10.0)
+    made.hear("b", dict.fromkeys(SERVERS, MIN_FAILURES), 10.0)
+    made.hear("c", dict.fromkeys(SERVERS, MIN_FAILURES), 10.0)
+    made.hear("d", {"s1": int(FAILURE_RATIO)}, 10.0)
     assert made.suspects(SERVERS, 10.1) == set()
 
 
@@ -87,7 +87,7 @@
     made.hear("c", dict.fromkeys(SERVERS[:8], 1000), 10.0)
     made.hear("d", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
     made.hear("e", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
-    assert len(made.suspects(SERVERS, 10.1)) <= MOST_SHARE * len(SERVERS)
+    assert len(made.suspects(SERVERS, 10.1)) <= MAX_EJECTED_SHARE * len(SERVERS)
 
 
 def test_a_suspect_is_tried_again_and_longer_avoided_if_it_still_fails():
@@ -95,13 +95,13 @@
     made.hear("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3)
     assert made.suspects(SERVERS, 10.1) == {"s1"}
-    tried = 10.1 + HOLD_S + 0.1
+    tried = 10.1 + BASE_EJECTION_S + 0.1
     assert made.suspects(SERVERS, tried) == set()
     made.hear("b", {"s1": 9}, tried)
     failed(made, "s1", 3, tried)
     assert made.suspects(SERVERS, tried + 0.1) == {"s1"}
-    assert made.suspects(SERVERS, tried + HOLD_S + 1.0) == {"s1"}
-    assert made.suspects(SERVERS, tried + 2 * HOLD_S + 1.0) == set()
+    assert made.suspects(SERVERS, tried + BASE_EJECTION_S + 1.0) == {"s1"}
+    assert made.suspects(SERVERS, tried + 2 * BASE_EJECTION_S + 1.0) == set()
 
 
 def test_what_a_node_told_long_ago_counts_no_more():
@@ -115,7 +115,7 @@
     made = Suspicions()
     for server in SERVERS:
         made.failed(server, 1.0)
-    assert len(made.tell(1.0)) == MOST_TOLD
+    assert len(made.tell(1.0)) == MAX_REPORTED_SERVERS
 
 
 def failures_of_few(seed, failing):
@@ -156,10 +156,10 @@
 
 def test_one_of_two_servers_is_not_suspected():
     """Without a third server nothing says which of two is the odd one."""
-    servers = FEW_SERVERS[: LEAST_SERVERS - 1]
+    servers = FEW_SERVERS[: MIN_SERVERS - 1]
     made = Suspicions()
-    failed(made, servers[0], LEAST_FAILURES, now=1.0)
-    made.hear("other", {servers[0]: LEAST_FAILURES}, 1.0)
+    failed(made, servers[0], MIN_FAILURES, now=1.0)
+    made.hear("other", {servers[0]: MIN_FAILURES}, 1.0)
     assert made.suspects(servers, 1.0) == set()
 
 
