--- a/packages/endive_core/src/endive_core/capacity.py
+++ b/packages/endive_core/src/endive_core/capacity.py
@@ -1,13 +1,13 @@
-"""How many servers to order where, and of which kind.
+"""Decides how many servers of which kind to order in each availability zone.
 
-The load this is for: most servers are reclaimable, and a zone's worth of them goes at
-once, often one zone after another within seconds, while no new ones are to be had for
-some twenty seconds. Reclaimable servers cost a fifth of the others and take as long to
-start. So they are held in such number that two zones may go and the rest still carries
-the load; on-demand ones are ordered only for what reclaimable ones can't give, and, in
-a wave of reclaims, for a part of the load in case a further zone goes.
+Most servers are reclaimable. All reclaimable servers of a zone are reclaimed at once,
+often one zone after another within seconds, and no new ones are available for some
+twenty seconds. They cost a fifth of the price of on-demand servers and take as long to
+start. So enough of them are held that any two zones may be lost and the rest still
+carries the load. On-demand servers are ordered only for what reclaimable ones cannot
+provide, and, in a wave of reclaims, for a part of the load in case more zones are lost.
 
-It is a desired state, not a step: repeated or late orders do no harm.
+The result is a desired state, not a change, so repeated or late orders do no harm.
 """
 
 import math
@@ -17,34 +17,36 @@
 from endive_core.routing import Scaling
 
 RECLAIMED_BACKOFF_S = 3.0
-"""Time before reclaimable servers are asked for again where they were refused, doubled
-up to :data:`MAX_BACKOFF_S`. They were refused for 12 to 15 s after a reclaim."""
+"""Time before reclaimable servers are ordered again from a pool that refused them,
+seconds, doubled up to :data:`MAX_BACKOFF_S`. Pools refuse orders for 12 to 15 s after a
+reclaim."""
 
 MAX_BACKOFF_S = 4.0
 
 ROUNDING_TOLERANCE = 0.05
-"""Part of a server that may be missing: measured load is no more exact than that."""
+"""Part of a server by which the number may be rounded down, since the measured load is
+no more accurate than that."""
 
 RECLAIM_WAVE_S = 10.0
-"""Time after a reclaim in which the other zones are expected to follow, seconds:
-waves came 5 to 6 s apart."""
+"""Time after a reclaim during which further zones are expected to be reclaimed,
+seconds. Reclaims of the zones follow each other 5 to 6 s apart."""
 
 TOLERATED_ZONE_LOSSES = 2
-"""Zones whose reclaimable servers may go with the rest still enough. Servers ordered at
-the first notice need 4 s and the second zone goes within 5 to 6 s, at a time at which
-the cloud has none to give. With one zone only, a fleet of six servers served 0.83 of
-what was owed instead of 0.90 at the same cost of servers (15 plays of five days), and
-one of 45 served 0.67 instead of 0.80 (one play each)."""
+"""Zones whose reclaimable servers may be lost while the rest still carries the load.
+Servers ordered at the first notice need 4 s to start, and a second zone is reclaimed
+within 5 to 6 s, when the cloud has no reclaimable servers available. In simulations
+with one zone only, six servers served 0.83 of the weighted requests instead of 0.90 at
+the same cost, and 45 servers served 0.67 instead of 0.80."""
 
 ZONES_AT_RISK = 2
 COVERED_FRACTION = 0.5
-"""Zones more that may go in a wave, and the part of the load that on-demand servers
-must then carry with what is left. They need 4 s to start, and two zones have gone
-within 0.1 s of each other. Compared with one zone at risk, half of the load covered
-both times, fleets of five to nine servers earned 0.01, 0.01 and 0.04 more (10 plays
-each). Against 0.6, two fifths covered earned 0.02 less where three zones went, 0.01
-more where two did, and 0.03 more with 45 servers (10, 10 and 2 plays); half lies
-between."""
+"""Further zones that may be lost in a wave of reclaims, and the fraction of the load
+that on-demand servers must then carry together with the remaining ones. On-demand
+servers need 4 s to start, and two zones may be reclaimed within 0.1 s of each other.
+In simulations with five to nine servers, two zones at risk served 0.01 to 0.04 more of
+the weighted requests than one. A fraction of 0.4 served 0.02 less than 0.6 where three
+zones were lost, 0.01 more where two were, and 0.03 more with 45 servers; 0.5 is a
+compromise."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,14 +59,14 @@
 
 @dataclass
 class PoolState:
-    """What is known of one pool.
+    """Numbers of servers of one pool.
 
     Attributes
     ----------
     ready : int
-        Servers that take work and are not under notice.
+        Servers that accept work and are not under a reclaim notice.
     leaving : int
-        Servers under notice or draining.
+        Servers that are under a reclaim notice or draining.
     """
 
     ready: int = 0
@@ -73,7 +75,15 @@
 
 @dataclass
 class Refused:
-    """A pool that had nothing to give when it was last asked."""
+    """Back-off of a pool that refused the last order.
+
+    Attributes
+    ----------
+    until : float
+        Clock time until which no further order is sent, seconds.
+    pause_s : float
+        Length of the back-off, doubled at the next refusal.
+    """
 
     until: float
     pause_s: float
@@ -81,18 +91,20 @@
 
 @dataclass
 class CapacityView:
-    """All that the decision looks at.
+    """Input of the decision.
 
     Attributes
     ----------
     needed : float
-        Servers that carry the load at the latency target, a fraction included.
+        Servers needed to carry the load within the latency target, not rounded.
+    now : float
+        Clock time, seconds.
     refused : mapping of Pool to float
-        Pools that refused, with the time until which not to ask them.
+        Pools that refused an order, with the clock time until which none is sent.
     ordered : mapping of Pool to int
-        What is on order now.
+        Number of servers that the last order asks for.
     reclaimed_at : float
-        When a zone's reclaimable servers were last seen to be taken.
+        Clock time at which reclaimable servers of a zone were last seen reclaimed.
     """
 
     scaling: Scaling
@@ -111,9 +123,10 @@
     def reclaimable_room(self, zone: str) -> int:
         """Return how many reclaimable servers a zone may have beside on-demand ones.
 
-        An order for more is taken and not carried out: of twelve servers six came, and
-        the others only when they were ordered again a quarter of a minute later. What
-        is ordered stays: a smaller order would take servers that are starting.
+        The cloud accepts an order for more but does not complete it: of twelve servers
+        six were started, and the others only when they were ordered again 15 s later.
+        The result is never less than what is on order, since a smaller order would stop
+        servers that are starting.
         """
         pool = Pool(zone, False)
         leaving = self.pools.get(pool, PoolState()).leaving
@@ -123,16 +136,16 @@
 
     @property
     def in_reclaim_wave(self) -> bool:
-        """Whether further zones may be reclaimed soon, with no new servers to be had.
+        """Whether further zones may be reclaimed soon, with no new servers available.
 
-        The zones that were reclaimed are asked again and again; while any refuses, the
-        wave has not passed.
+        Orders to the reclaimed zones are repeated; the wave lasts as long as any zone
+        refuses them.
         """
         recent = self.now - self.reclaimed_at < RECLAIM_WAVE_S
         return recent or bool(self.refusing_zones())
 
     def refusing_zones(self) -> set[str]:
-        """Return the zones that have no reclaimable servers to give."""
+        """Return the zones that have no reclaimable servers available."""
         return {pool.zone for pool, until in self.refused.items() if until > self.now}
 
 
@@ -154,13 +167,13 @@
     for zone in zones:
         minimum = scaling.min_servers - desired[Pool(zone, True)]
         if zone in refusing:
-            minimum = 0  # what is missing comes back, and makes up for it
+            minimum = 0  # reclaimable servers will make up the minimum again
         desired[Pool(zone, False)] = max(on_demand[zone], minimum)
     return desired
 
 
 def _reclaimable_per_zone(needed: float, zones: int, scaling: Scaling) -> int:
-    """Return the reclaimable servers of each zone that carry the load without some."""
+    """Return the reclaimable servers per zone that tolerate the loss of zones."""
     servers = max(1, math.ceil(needed - ROUNDING_TOLERANCE))
     per_zone = math.ceil(servers / max(1, zones - TOLERATED_ZONE_LOSSES))
     return max(scaling.min_servers, min(per_zone, scaling.max_servers))
@@ -171,12 +184,12 @@
 ) -> dict[str, int]:
     """Return the on-demand servers by zone that make up for missing reclaimable ones.
 
-    More are ordered only for what reclaimable ones won't give: those that are starting
-    are there as soon as on-demand ones ordered now would be. Those on order are given
-    back only for reclaimable ones that are ready.
+    More are ordered only for what the desired reclaimable servers do not cover, since
+    those that are starting are ready as soon as on-demand ones ordered now would be.
+    Fewer are ordered only once reclaimable servers that replace them are ready.
 
-    What is ordered stays where it is: moved to a cheaper zone, it would have to start
-    again.
+    Servers on order stay in their zones: a server moved to a cheaper zone would have to
+    start again.
     """
     ready = {zone: view.ready(zone, True) for zone in zones}
     expected = {zone: max(desired[Pool(zone, True)], ready[zone]) for zone in zones}
@@ -196,7 +209,7 @@
 
 
 def _shortfall(view: CapacityView, by_zone: Iterable[int]) -> int:
-    """Return the servers missing beside reclaimable ones, so many in each zone."""
+    """Return the on-demand servers needed beside the reclaimable ones of each zone."""
     counts = list(by_zone)
     total = sum(counts)
     shortfall = view.needed - total
--- a/packages/endive_core/src/endive_core/load_sizing.py
+++ b/packages/endive_core/src/endive_core/load_sizing.py
@@ -1,20 +1,26 @@
-"""How many servers the load needs."""
+"""Measures the load from which the number of servers is derived."""
 
 from collections import deque
 
 USED_PART = 0.85
-"""Part of a server's time that the highest load of late may use. Above it prompts queue
-behind one another and first tokens come late."""
+"""Part of a server's time that the recent peak load may use. Above it, prompts queue at
+the servers and first tokens are late."""
 
 PEAK_WINDOW_S = 20.0
-"""Time for which the highest load counts, seconds: a wave's half period, so that
-servers are not given back in a trough that lasts shorter than they take to start."""
+"""Time window of the peak load, seconds: half a period of a periodic load, so that
+servers are not released in a trough that is shorter than their start-up time."""
 
 
 class LoadMeter:
-    """Work a second that came in, smoothed, and its peak of late.
+    """Recent peak of the work that arrives per second.
 
-    Work is seconds of one server's time. All nodes' work is summed by whoever decides.
+    Work is measured in seconds of one server's time. The node that decides on the
+    capacity adds the sum over all nodes.
+
+    Parameters
+    ----------
+    window_s : float
+        Time for which a sample counts, seconds.
     """
 
     def __init__(self, window_s: float = PEAK_WINDOW_S) -> None:
@@ -22,11 +28,11 @@
         self.samples: deque[tuple[float, float]] = deque()
 
     def add(self, work: float, now: float) -> None:
-        """Take in the fleet's work a second at `now`."""
+        """Record the work per second of all nodes at clock time `now`."""
         self.samples.append((now, work))
         while self.samples and self.samples[0][0] < now - self.window_s:
             self.samples.popleft()
 
     def peak(self) -> float:
-        """Return the highest work a second of late."""
+        """Return the highest work per second within the window."""
         return max((work for _, work in self.samples), default=0.0)
--- a/packages/endive_core/src/endive_core/outliers.py
+++ b/packages/endive_core/src/endive_core/outliers.py
@@ -1,9 +1,9 @@
-"""Slow servers: found by comparison with their peers, and brought back by probes.
+"""Detects slow and failing servers by comparison with their peers, and probes them.
 
-The load this is for: one server of several becomes slow without failing. By counting
-requests alone it looks no worse than others until its queue is long, and 1 call in 5
-misses its target. An absolute limit would mark all servers when the load rises; the
-peers' median rises with them.
+A server may become slow without failing. By its number of requests alone it looks like
+the others until its queue is long; with five servers, 1 call in 5 then misses its
+target. An absolute latency limit would mark all servers when the load rises, whereas
+the median of the peers rises with it.
 """
 
 from statistics import median
@@ -13,41 +13,43 @@
 from endive_core.suspicions import Suspicions
 
 MIN_SAMPLES = 5
-"""Latencies before a server is judged; one slow call proves nothing."""
+"""Latencies needed before a server can be marked; one slow call proves nothing."""
 
 MIN_PEER_SAMPLES = 3
-"""Latencies of a server before the judged ones are compared with it. With as many as a
-judged one needs, one of three servers that failed every request was compared half a
-second later whenever another had only four by chance: 16 to 21 of 90 callers got a
-failure in one run of seven, instead of 5 to 11. A server is compared as soon as it has
-enough itself."""
+"""Latencies needed before a server counts as a peer. It is lower than
+:data:`MIN_SAMPLES`, because a server may by chance have few latencies: with the same
+bound, the comparison that marks one of three servers which fails every request came
+half a second later, and 16 to 21 of 90 callers got a failure instead of 5 to 11."""
 
 COMPARISON_RETRY_S = 0.1
-"""Time until the next look while too few servers have answered to compare them,
-seconds."""
+"""Time until the next comparison while there are too few peers, seconds."""
 
 FAILURE_LATENCY_RATIO = 10.0
-"""Latency, as a multiple of the expected one, that an answered failure counts as. A
-server that fails two in five while its peers fail one in twenty then stands at three
-times their median and is marked; where all fail alike, the median rises and none is.
+"""Latency ratio that a failure counts as, and the highest that any latency counts as.
 
-No latency counts as more. One answer 0.3 s late among a server's first five would stand
-at sixty times its peers, and hold the place of one that fails every request: up to 15
-of 90 callers got a failure then, 5 to 8 without such an answer."""
+A server that fails two requests in five while its peers fail one in twenty then has
+three times their median ratio and is marked. If all fail alike, the median rises too
+and none is marked.
+
+The bound keeps a single late answer from standing out more than failures. Without it,
+one answer 0.3 s late among a server's first five gave a ratio sixty times that of its
+peers, and that server was marked in place of one that failed every request: up to 15 of
+90 callers then got a failure, instead of 5 to 8."""
 
 
 class OutlierDetector:
-    """Compares each server's latency ratio with its peers' median.
+    """Compares each server's latency ratio with the median of its peers.
 
-    The ratio is observed time over expected time, so long prompts are no sign of
-    slowness. Operators meet it as a server without new work but for a probe each few
-    seconds.
+    The ratio is observed over expected latency, so long prompts do not make a server
+    look slow. A server that is marked slow gets no work except a probe request from
+    time to time.
 
     Attributes
     ----------
     suspicions : Suspicions or None
-        What all nodes see of failing servers, if they tell each other. A suspect gets
-        no probe: sixty nodes' probes would be a tenth of its usual work.
+        Failures of the servers as seen by all nodes, if the nodes exchange them. A
+        server ejected by it gets no probes: those of sixty nodes would add up to a
+        tenth of its usual work.
     """
 
     def __init__(self, policy: Policy, servers: ServerSet) -> None:
@@ -59,7 +61,7 @@
         self.suspects: set[str] = set()
 
     def observe(self, server: ServerLoad, *, seconds: float, expected_s: float) -> None:
-        """Take in one latency of `server`."""
+        """Record one latency of `server`, with the one that was expected, seconds."""
         ratio = min(FAILURE_LATENCY_RATIO, seconds / max(expected_s, 1e-3))
         weight = self.policy.latency_smoothing
         if server.samples < MIN_SAMPLES:
@@ -70,18 +72,18 @@
         server.latency_ratio += weight * (ratio - server.latency_ratio)
 
     def failed(self, server: ServerLoad) -> None:
-        """Take in one request that `server` answered with a failure.
+        """Record one request that `server` answered with a failure.
 
-        Some servers fail part of their requests while they look healthy, and quickly:
-        by its latency alone such a server is the best of all.
+        A server may fail part of its requests quickly while its health checks succeed:
+        by its latency alone it would then look like the best one.
         """
         self.observe(server, seconds=FAILURE_LATENCY_RATIO, expected_s=1.0)
 
     def compare(self, now: float) -> None:
-        """Set each server's slowness, if it is time to; costs one pass over all.
+        """Update each server's slowness and mark the slow ones, once per interval.
 
-        At most a share of the servers is marked: with most of them "slow" the cause
-        lies elsewhere, and the rest could not carry the load.
+        It takes one pass over all servers. Only a limited share of them is marked: if
+        most are slow the cause lies elsewhere, and the rest could not carry the load.
         """
         if now < self.next_comparison_at:
             return
@@ -103,7 +105,7 @@
             self._mark(server, slow or server.id in self.suspects, now)
 
     def _update_suspects(self, now: float) -> None:
-        """Mark the servers that fail under all nodes together."""
+        """Mark the servers that are ejected because of all nodes' failures."""
         if self.suspicions is None:
             return
         before = self.suspects
@@ -122,7 +124,10 @@
         self.slow = [s for s in self.servers.servers.values() if s.slow]
 
     def probe(self, now: float) -> ServerLoad | None:
-        """Return a slow server that is due for one call, so that it can come back."""
+        """Return a slow server that is due for a probe request, or ``None``.
+
+        The latency of the probe lets a server that has recovered be unmarked.
+        """
         for server in self.slow:
             if self.servers.servers.get(server.id) is not server:
                 continue
--- a/packages/endive_core/src/endive_core/placement.py
+++ b/packages/endive_core/src/endive_core/placement.py
@@ -1,12 +1,13 @@
-"""Placement: which server a call goes to.
-
-The load this is for: skewed demand, where many calls share a few prompt prefixes.
-Without affinity each server computes each prefix again; with affinity alone, the
-servers of the popular prefixes drown while others idle. So a few candidates are
-compared (the prefix's own servers, those believed to hold it, and some with room at
-random) by predicted wait against prompt tokens to compute, with the deployment's own
-weights. A few random candidates are enough to find a short wait, and since each node
-draws others, nodes that read the same late report don't all run to one server.
+"""Chooses the server for a call by prefix affinity and predicted wait.
+
+Demand is skewed: many calls share a few prompt prefixes. Without affinity every server
+computes every prefix again; with affinity alone, the servers of the popular prefixes
+are overloaded while others idle. Placement therefore compares a few candidates: the
+servers to which the prefix hashes, those believed to have it cached, and a random
+sample of those with room. They are compared by predicted wait and prompt tokens to
+compute, with the weights of the deployment. A few random candidates are enough to find
+a short wait. Since each node draws its own sample, nodes that read the same outdated
+load report do not all choose the same server.
 """
 
 from dataclasses import dataclass
@@ -20,25 +21,26 @@
 from endive_core.servers import Random, ServerLoad, ServerSet
 
 AFFINITY_DEPTHS = (8, 12, 18, 27, 41, 61, 92, 138)
-"""Numbers of leading blocks that may choose affinity servers; the deepest two that a
-prompt has are used. A single depth would be too short for a long system prompt, so
-that one organisation's calls all meet on one server, or too long for a short one. With
-two, a conversation that grows past a depth still meets its last turn's server."""
+"""Prefix lengths, in blocks, whose hashes choose affinity servers. Of those that a
+prompt reaches, the longest are used, by default two. A single length would be too short
+for a long system prompt, so that all calls of one organisation hash to one server, or
+too long for a short one. With two, a conversation that grows past a length still hashes
+to the server of its previous turn."""
 
 MAX_HOLDER_CANDIDATES = 2
-"""Servers tried because they are believed to hold the longest known prefix."""
+"""Candidates taken from the servers believed to hold the longest known prefix."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartPrediction:
-    """What a call may expect at a server.
+    """When a server is predicted to start a call.
 
     Attributes
     ----------
     late_s : float
-        How long after its deadline the server would begin it, seconds.
+        Time after the call's deadline at which the server would start it, seconds.
     yields : bool
-        Whether it goes behind all others there.
+        Whether the call is queued behind all others at the server.
     """
 
     late_s: float
@@ -51,12 +53,13 @@
 class Placement:
     """Chooses the server for a ticket among those with room.
 
-    Callers meet it as the wait for the first token, operators as recomputed tokens.
+    Its choices determine the time to first token and the number of recomputed tokens.
 
     Attributes
     ----------
     backlogs : Backlogs or None
-        What other nodes wait for, if they tell.
+        Prompt tokens that other nodes have pending at each server, if the nodes
+        exchange them.
     """
 
     def __init__(self, policy: Policy, servers: ServerSet, random: Random) -> None:
@@ -68,11 +71,11 @@
         self.backlogs: Backlogs | None = None
 
     def set_members(self, members: list[str]) -> None:
-        """Place the servers that take work on the ring."""
+        """Set the servers of the hash ring."""
         self.ring.set_members(members)
 
     def choose(self, ticket: Ticket, now: float, tier: Tier) -> ServerLoad | None:
-        """Return the best server with room, or ``None`` if no candidate has any."""
+        """Return the candidate with the lowest cost, or ``None`` if none has room."""
         call = ticket.call
         cached = self.prefixes.prefix_holders(call.blocks)
         hashed = self._affinity_servers(call) if call.blocks else {}
@@ -95,10 +98,10 @@
         return best
 
     def pace(self, server: ServerLoad, tokens: float, now: float) -> None:
-        """Count prefill work sent to `server` against this node's part of its rate.
+        """Count prefill work sent to `server` against this node's share of its rate.
 
-        A batch that fills all free slots at once would leave a second of prefill work
-        before the next caller's first token, though slots are free.
+        Without pacing, a batch that fills all free slots at once would queue a second
+        of prefill work, which delays the next caller's first token.
         """
         rate = server.view.prefill_tokens_per_s * self.servers.share
         begins = max(now, server.prefill_paced_until)
@@ -125,12 +128,12 @@
             return False
         if not self.servers.has_room(server, tier):
             return False
-        # Of several requests that ran on a crashed server one may be poison. Apart
-        # from each other, the next crash names it and no innocent one is refused.
+        # Of several requests that ran on a crashed server one may be the cause. On
+        # separate servers, the next crash identifies it and no other one is refused.
         return not (ticket.suspect and server.starting_suspects)
 
     def _within_bound(self, names: list[str], tier: Tier) -> list[ServerLoad]:
-        """Return the prefix's servers that have room and aren't over the load bound.
+        """Return the named servers that have room and are within the load bound.
 
         The bound keeps one popular prefix from filling its server while others idle.
         """
@@ -146,17 +149,17 @@
         return found
 
     def _affinity_servers(self, call: Call) -> dict[str, int]:
-        """Return the servers that the deepest affinity depths hash to, with the depth.
+        """Return the servers to which the longest prefixes hash, with prefix lengths.
 
-        They are believed to hold part of the prefix, though no event said so: every
-        node sends it there, so the belief comes true. A node that has just started,
-        or whose events were lost, thus still finds what others had computed.
+        They are assumed to hold part of the prefix even if no cache event said so,
+        because every node sends the prefix to them. A node that has just started, or
+        that has lost events, thus still finds what other nodes have had computed.
         """
         if not self.policy.affinity_candidates:
             return {}
         if call.block_ends:
-            # The last part belongs to one request or session; those before it are
-            # what requests share.
+            # Requests share the parts before the last, which belongs to one request
+            # or session.
             depths = list(range(1, max(2, len(call.blocks))))
         else:
             depths = [depth for depth in AFFINITY_DEPTHS if depth <= len(call.blocks)]
@@ -170,7 +173,7 @@
     def score(
         self, call: Call, server: ServerLoad, cached_blocks: int, now: float
     ) -> float:
-        """Return the weighed cost of sending `call` to `server`, in seconds."""
+        """Return the weighted cost of sending `call` to `server`, seconds."""
         compute = _uncached(call, cached_blocks) / server.view.prefill_tokens_per_s
         weights = call.weights
         return server.slowness * (
@@ -181,8 +184,8 @@
     def wait_s(self, server: ServerLoad, now: float) -> float:
         """Return the predicted wait for the first prefill step at `server`, seconds.
 
-        The fewer slots the report leaves free, the likelier another node takes the
-        last one first, and the request waits for a stream to end.
+        The fewer free slots the last report shows, the likelier another node takes the
+        last one first, so that the request waits for a stream to end.
         """
         view = server.view
         rate = view.prefill_tokens_per_s
@@ -194,10 +197,10 @@
         return waiting + self.policy.crowding_s / (1 + free)
 
     def soonest(self, ticket: Ticket, now: float, tier: Tier) -> ServerLoad | None:
-        """Return the server with room that would begin a call first, if any has room.
+        """Return the server that would start a call first, or ``None`` without room.
 
-        A few candidates are enough to find a short wait, not to say that there is none:
-        before a call is given up all servers are looked at.
+        A few candidates are enough to find a short wait, but not to rule one out, so
+        all servers are compared before a call is given up.
         """
         ticket.uncached_tokens = float(ticket.call.prompt_tokens)
         allowed = self._all_allowed(ticket, tier)
@@ -206,18 +209,19 @@
     def outlook(
         self, ticket: Ticket, server: ServerLoad, now: float
     ) -> StartPrediction:
-        """Return what a call may expect at `server`.
-
-        The load this is for: reclaims leave fewer servers than the load needs. Engines
-        take every prompt into their batches, so none waits in a node's queue, and each
-        is behind all others at its server: 643 callers of 17,400 hung up before their
-        first token, while what was computed for them held up the next ones. With such
-        prompts refused at once it were 378, and 50 more short prompts came in time (one
-        day with 85 nodes, one play each).
-
-        Where others' backlogs aren't told nothing is known well enough to say more than
-        that the call has its turn. So it is for a further attempt, whose caller has
-        waited already.
+        """Predict when `server` would start a call, and whether the call must yield.
+
+        After reclaims fewer servers may remain than the load needs. Engines accept
+        every prompt into their batches, so the backlog builds up at the servers and not
+        in the nodes' queues, where calls could be given up. In a simulated day with 85
+        nodes, 643 of 17,400 callers then hung up before their first token, and the
+        prompts computed for them delayed the next ones. Refusing calls that would start
+        after their deadline reduced this to 378 and let 50 more short prompts meet
+        their target.
+
+        A call is taken to start on time if the backlogs of other nodes are not known,
+        since the prediction would be too inaccurate, or if it is a further attempt,
+        since its caller has already waited.
         """
         if self.backlogs is None or ticket.attempt:
             return ON_TIME
@@ -235,18 +239,19 @@
     def _should_yield(
         self, ticket: Ticket, wait_s: float, begins_s: float, now: float
     ) -> bool:
-        """Return whether a call goes behind all others at its server.
-
-        The load this is for: for some seconds after a reclaim one server does the work
-        of three. Taken in turn, each prompt waits behind all before it, and all come a
-        little too late. So one that is expected after its target anyway goes behind
-        those that can still be in time, and no longer counts in what they wait for.
-        The worst two seconds of a day then have 0.58 of what is owed instead of 0.52
-        (mean of 33 days played both ways); with twice a server's work for four seconds
-        39 of 80 callers are in time instead of 7.
-
-        A prompt whose own computation takes longer than its target isn't put back while
-        its wait is short: it would be the last one always.
+        """Return whether a call is queued behind all others at its server.
+
+        For some seconds after a reclaim one server may do the work of three. In
+        first-come order each prompt then waits behind all earlier ones, and all miss
+        their target by a little. A prompt that is predicted to miss its target anyway
+        therefore yields to those that can still meet it, and does not count towards
+        their wait. Simulated over 33 days, this raises the weighted share of requests
+        served in time, in the worst two seconds of a day, from 0.52 to 0.58; with twice
+        a server's work for four seconds, 39 of 80 callers meet their target instead
+        of 7.
+
+        A prompt whose own computation takes longer than its target does not yield
+        while the wait is short, since it would otherwise always be last.
         """
         target_s = ticket.call.target_s
         if wait_s <= self.policy.yield_wait_part * target_s:
--- a/packages/endive_core/src/endive_core/servers.py
+++ b/packages/endive_core/src/endive_core/servers.py
@@ -1,13 +1,14 @@
-"""What a node believes about each server: the last report and its own sends since.
-
-The load this is for: several nodes send to the same servers, and each sees the others
-only through reports that lag. Two harms follow. A node that reads "4 slots free" and
-fills all four, as do six others, puts 28 requests before 4 slots. And a node that
-waits for the next report before it reuses a slot it has just freed leaves it idle for
-the whole lag. So the last free slots in a report are divided among the nodes, while a
-slot that this node's own request has freed is this node's to use at once. Where many
-slots are free, a node may take any of them, less what the others have presumably taken
-by now: as much as this node has, for they see the same load.
+"""Load of each server as a node sees it: the last report and its own sends since.
+
+Several nodes send to the same servers, and each sees the others only through load
+reports that lag. This causes two problems. If seven nodes read that 4 slots are free
+and each fills all of them, 28 requests are sent to 4 slots. If a node waits for the
+next report before it reuses a slot that it has just freed, the slot stays idle for the
+whole lag. Therefore the last free slots of a report are divided among the nodes, while
+a slot that a node's own request has freed is that node's to reuse at once. Where many
+slots are free, a node may take any of them, less those that the other nodes have
+presumably taken since the report: as many each as this node, since they see the same
+load.
 """
 
 from collections import deque
@@ -20,7 +21,7 @@
 
 
 class Random(Protocol):
-    """Source of randomness, passed in so that runs can be repeated."""
+    """Source of randomness, passed in so that runs are reproducible."""
 
     def random(self) -> float:
         """Return a number from 0 up to 1."""
@@ -31,29 +32,42 @@
 
 @dataclass(slots=True, eq=False)
 class ServerLoad:
-    """One server's load as this node sees it.
+    """Load of one server as this node sees it.
 
     Attributes
     ----------
     reserved : tuple of int
         Slots that a call of each tier must leave free.
-    divided : int
-        The last free slots, which the nodes divide.
+    divided_slots : int
+        Last free slots, which the nodes divide among them.
     grants : list of int
-        Slots of the last report that are this node's to take, for each tier.
-    changes : deque
-        Times and signs of this node's own sends (+1) and ends (-1).
-    change : int
-        Sum of the signs after the state that the last report describes.
+        Slots of the last report that this node may take, for each tier.
+    recent_changes : deque
+        Times and signs of the requests that this node sent (+1) or that ended (-1)
+        since the last report.
+    net_change : int
+        Sum of these signs.
     starting_tokens : float
-        Uncached prompt tokens that this node sent and that gave no first token yet.
+        Uncached tokens of prompts that this node has sent and that have not produced
+        a first token, except those that yield.
+    yielding_tokens : float
+        The same for prompts that yield to all others at the server.
+    starting_suspects : int
+        Requests of this node that have not produced a first token and that ran on a
+        server when it crashed.
     prefill_paced_until : float
-        Clock time by which this node's part of the prefill rate has done what this
-        node sent.
-    failures : int
-        Failures in a row.
+        Clock time at which this node's share of the prefill rate has processed all
+        that this node has sent.
     slowness : float
-        Latency compared with the peers' median, 1 or more.
+        Latency ratio over the median of the peers, 1 or more.
+    paused : bool
+        Whether it gets no work for a while because it failed.
+    failures : int
+        Consecutive failures.
+    latency_ratio : float
+        Smoothed ratio of observed to expected latency.
+    samples : int
+        Number of observed latencies.
     """
 
     view: ServerView
@@ -81,7 +95,7 @@
 
     @property
     def load(self) -> int:
-        """Requests running and waiting, the report corrected by own changes."""
+        """Requests running and waiting: the last report plus own changes since."""
         view = self.view
         return max(
             view.in_flight,
@@ -95,20 +109,20 @@
 
     @property
     def free(self) -> int:
-        """Slots free in the last report; below 0 if requests were waiting."""
+        """Slots free in the last report; negative if requests were waiting."""
         view = self.view
         return view.max_concurrent - view.reported_running - view.reported_waiting
 
     def remaining_grant(self, tier: Tier) -> int:
-        """Return how many requests this node may send from its part of the slots."""
+        """Return how many more requests this node's grant allows."""
         return self.grants[tier] - self.net_change
 
     def uncontended_slots(self, tier: Tier) -> int:
-        """Return the free slots beyond those that the nodes divide."""
+        """Return the free slots beyond those that the nodes divide among them."""
         return self.free - self.net_change - self.divided_slots - self.reserved[tier]
 
     def note(self, sign: int, now: float) -> None:
-        """Count an own send (+1) or end (-1) at `now`."""
+        """Count a request of this node that was sent (+1) or ended (-1) at `now`."""
         self.recent_changes.append((now, sign))
         self.net_change += sign
         self.view.in_flight += sign
@@ -116,11 +130,31 @@
 
 
 class ServerSet:
-    """All servers of one service, and those with room, found without a scan.
+    """The servers of one service, indexed by whether they have room.
+
+    The time of a decision must not grow with the number of servers. The servers with
+    room are therefore kept in indexes that each send, end and report updates in
+    constant time.
+
+    Parameters
+    ----------
+    random : Random
+        Source of randomness, seeded by the node.
+    reserved_share : float
+        Part of a server's slots that is reserved for the higher tiers.
+    divided_share : float
+        Part of a server's slots that the nodes divide when no more are free.
+    giving_way : float
+        Slots that the lower tiers free for each reserved slot that is taken.
 
-    Users meet it through the speed of a decision: it must not grow with the number
-    of servers, so the servers with room stand in lists that each send, end and
-    report update in constant time.
+    Attributes
+    ----------
+    open : dict of Tier to ServerIndex
+        Servers with room, for each tier.
+    taking : ServerIndex
+        Servers that accept work: neither leaving nor paused.
+    own_total : int
+        Requests of this node in flight.
     """
 
     def __init__(
@@ -146,7 +180,7 @@
         self.yielding_total = 0.0
 
     def set_servers(self, views: Iterable[ServerView]) -> bool:
-        """Take over the declared servers; return whether the set changed."""
+        """Apply the declared servers; return whether the set changed."""
         declared = {view.id: view for view in views}
         gone = self.servers.keys() - declared.keys()
         new = declared.keys() - self.servers.keys()
@@ -180,12 +214,12 @@
 
     @property
     def share(self) -> float:
-        """Part of the reported free slots that this node takes.
+        """Part of the reported free slots that this node may take.
 
-        With even traffic it is one part in the number of nodes. A batch that arrives
-        at one node only would then fill an idle service slowly, so the share follows
-        this node's part of the reported load. What was sent since the reports is left
-        out on both sides: the others' is not known.
+        With even traffic it is one over the number of nodes. With that share alone, a
+        batch that arrives at a single node would fill an idle service only slowly, so
+        the share follows this node's part of the reported load. Requests sent since
+        the reports are left out on both sides, since those of other nodes are unknown.
         """
         own = max(0, self.own_total - self.net_change_total)
         total = max(own, self.reported_total)
@@ -193,16 +227,16 @@
 
     @property
     def mean_utilisation(self) -> float:
-        """Load over slots of all servers."""
+        """Load over slots, of all servers together."""
         total = max(self.own_total, self.reported_total)
         return total / self.slots_total if self.slots_total else 0.0
 
     def report(
         self, server_id: str, running: int, waiting: int, *, as_of: float
     ) -> None:
-        """Take over a server's report of its state at `as_of`.
+        """Apply a server's report of its load at `as_of`.
 
-        Own changes up to `as_of` are in the report; later ones still correct it.
+        The report includes own changes up to `as_of`; later ones are added to it.
         """
         server = self.servers.get(server_id)
         if server is None:
@@ -228,12 +262,15 @@
         self.refresh(server)
 
     def _round_at_random(self, value: float) -> int:
-        """Round at random, so that the nodes' parts add up to the whole on average."""
+        """Round up or down at random, so that the mean is `value`.
+
+        The grants of all nodes then add up to the free slots on average.
+        """
         whole = int(value // 1)
         return whole + (self.random.random() < value - whole)
 
     def mark_full(self, server: ServerLoad) -> None:
-        """Expect no room until the next report: the server has just refused."""
+        """Treat a server that refused a request as full until its next report."""
         view = server.view
         server.grants = [min(grant, server.net_change) for grant in server.grants]
         waiting = view.reported_waiting
@@ -242,7 +279,7 @@
         self.refresh(server)
 
     def note(self, server: ServerLoad, sign: int, now: float) -> None:
-        """Count an own send or end at `server`."""
+        """Count a request of this node that was sent (+1) or ended (-1)."""
         server.note(sign, now)
         self.own_total += sign
         self.net_change_total += sign
@@ -251,7 +288,7 @@
     def note_prompt(
         self, server: ServerLoad, sign: int, tokens: float, *, yields: bool
     ) -> None:
-        """Count the tokens of a prompt sent (+1), or of one begun or ended (-1)."""
+        """Count the tokens of a prompt that was sent (+1), or started or ended (-1)."""
         if yields:
             server.yielding_tokens += sign * tokens
             self.yielding_total += sign * tokens
@@ -259,11 +296,12 @@
             server.starting_tokens += sign * tokens
 
     def yielding_at(self, server: ServerLoad) -> float:
-        """Return the tokens at `server` that give way, of all nodes.
+        """Return the estimated yielding tokens of all nodes at `server`.
 
-        Others' aren't told. All of theirs are taken to be as many as their part of all
-        requests makes likely, spread evenly: at one server this node's own say nothing
-        of theirs, with many nodes and servers.
+        Nodes do not exchange these. The total of the other nodes is estimated from
+        this node's total and its share of all requests, and spread evenly over the
+        servers: with many nodes and servers, this node's tokens at one server say
+        nothing about those of the others there.
         """
         others = self.yielding_total * (1 / self.share - 1)
         return server.yielding_tokens + others / max(1, len(self.taking))
@@ -276,16 +314,17 @@
         return uncontended > 0 and uncontended > self._taken_by_others(server)
 
     def _taken_by_others(self, server: ServerLoad) -> float:
-        """Return the slots of `server` that other nodes presumably took by now.
+        """Estimate the slots of `server` taken by other nodes since the last report.
 
-        The others see the same load, so they are taken to have grown as this node
-        has, this request included, where slots were free. This stops a burst that
-        reaches all nodes at once before all of them have filled the same slots.
+        The other nodes see the same load, so each is assumed to have sent as many more
+        requests as this node, including the one to be placed, to where slots were free.
+        This keeps a burst that reaches all nodes at once from filling the same slots
+        several times.
 
-        The request to be sent is itself a sign of a burst only as far as the servers
-        are loaded. With more nodes than slots a service of a few idle servers would
-        otherwise take nothing: 86 others were expected at 24 slots whenever one request
-        came, and a fifth of the requests waited for a second in vain.
+        The request to be placed counts as a sign of a burst only in proportion to the
+        utilisation. Otherwise a service with fewer slots than nodes would accept
+        nothing when idle: with 87 nodes and 24 slots, 86 other requests were assumed
+        for each one, and a fifth of the requests waited a second for no reason.
         """
         free = max(1, self.slots_total - self.reported_total)
         growth = max(0, self.net_change_total) + min(1.0, self.mean_utilisation)
@@ -293,11 +332,11 @@
         return growth * max(0, server.free) / free
 
     def pause(self, server: ServerLoad) -> bool:
-        """Give a server that failed no work for now; never the last one left.
+        """Pause a server that failed, unless it is the last one; return whether it was.
 
-        Until it answers again it then gets one request at a time: a dead server that
-        nobody has taken out of the configuration would otherwise fail a slot's worth
-        of requests after each pause.
+        After the pause it gets one request at a time until one succeeds. A dead server
+        that is still in the configuration would otherwise fail as many requests as it
+        has slots after each pause.
         """
         server.failures += 1
         if server.paused or (len(self.taking) == 1 and not server.view.leaving):
@@ -307,22 +346,22 @@
         return True
 
     def answered(self, server: ServerLoad) -> None:
-        """Note that a server works."""
+        """Reset the consecutive failures of a server that answered a request."""
         if server.failures:
             server.failures = 0
             self.refresh(server)
 
     def all_tried(self, tried: set[str]) -> bool:
-        """Return whether every server that takes work is among `tried`."""
+        """Return whether every server that accepts work is among `tried`."""
         if len(tried) < len(self.taking):
             return False
         return all(server.id in tried for server in self.taking.items)
 
     def refresh(self, server: ServerLoad) -> None:
-        """Put `server` into or out of the lists of servers with room.
+        """Add `server` to the indexes of servers with room, or remove it from them.
 
-        One that is no longer declared stays out, whatever still ends or resumes there:
-        it would be chosen, and could not be found.
+        A server that is no longer declared is not added, even when a request ends or a
+        pause is over there: placement would choose a server that cannot be looked up.
         """
         if self.servers.get(server.id) is not server:
             return
@@ -344,7 +383,7 @@
 
 
 class ServerIndex:
-    """A set with constant-time random choice."""
+    """A set of servers with random choice in constant time."""
 
     def __init__(self) -> None:
         self.items: list[ServerLoad] = []
@@ -370,7 +409,7 @@
             self.positions[last.id] = position
 
     def sample(self, count: int, randrange: Callable[[int], int]) -> list[ServerLoad]:
-        """Return up to `count` members at random, repeats possible."""
+        """Return up to `count` random members, possibly with repeats."""
         if len(self.items) <= count:
             return list(self.items)
         return [self.items[randrange(len(self.items))] for _ in range(count)]
