--- a/packages/endive_core/src/endive_core/clocks.py
+++ b/packages/endive_core/src/endive_core/clocks.py
@@ -1,9 +1,9 @@
-"""True time from many clocks, of which some may jump.
+"""Time of day from the clocks of all nodes, some of which may jump.
 
-The load this is for: the time of day on some instances jumps by seconds or minutes and
-back. Counts by window of the time of day would fall into windows that are reported
-already, or that never come. The median of what all nodes say stays right while less
-than half of them are wrong.
+The time of day on some instances jumps by seconds or minutes and back. Counts by time
+window would then be added to windows that have already been reported, or that never
+come. The median over all nodes is right as long as less than half of the clocks are
+wrong.
 """
 
 from collections.abc import Callable
@@ -11,25 +11,33 @@
 from statistics import median
 
 MAX_READING_AGE_S = 3.0
-"""Age up to which another node's clock counts, seconds; steady clocks drift by far
-less in that time, and a node that is gone must not hold a vote."""
+"""Age up to which the reading of another node's clock counts, seconds. Monotonic clocks
+drift by far less in that time, and the reading of a node that is gone must expire."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """One node's time of day less this node's steady clock."""
+    """A reading of another node's clock.
+
+    Attributes
+    ----------
+    offset : float
+        That node's time of day minus this node's monotonic clock, seconds.
+    at : float
+        This node's monotonic clock when the reading arrived, seconds.
+    """
 
     offset: float
     at: float
 
 
 class TrueTime:
-    """The time of day that most nodes agree on.
+    """Time of day as the median of the clocks of all nodes.
 
     Parameters
     ----------
-    steady, wall : callable
-        This node's steady clock and time of day, seconds.
+    monotonic, wall_time : callable
+        Return this node's monotonic clock and time of day, seconds.
     """
 
     def __init__(
@@ -40,12 +48,12 @@
         self.readings: dict[str, ClockReading] = {}
 
     def hear(self, node: str, wall_time: float) -> None:
-        """Take over another node's time of day, a network delay old."""
+        """Record another node's time of day; it is late by the network delay."""
         now = self.monotonic()
         self.readings[node] = ClockReading(wall_time - now, now)
 
     def now(self) -> float:
-        """Return seconds since the start of 1970."""
+        """Return the time of day as seconds since the Unix epoch."""
         monotonic = self.monotonic()
         offsets = [self.wall_time() - monotonic]
         for node, reading in list(self.readings.items()):
--- a/packages/endive_core/src/endive_core/crashes.py
+++ b/packages/endive_core/src/endive_core/crashes.py
@@ -1,8 +1,8 @@
-"""Requests that crash servers, recognised by their content's fingerprint.
+"""Recognises requests that crash servers by the fingerprint of their content.
 
-The load this is for: one request crashes each server that runs it, and its caller
-sends it again, to any node. Unrecognised, it takes the servers down one by one, with
-all streams on them. Callers meet it as ``poison_request``.
+A request may crash each server that runs it, and its caller may send it again to any
+node. Unless it is recognised, it crashes the servers one by one, and breaks all streams
+on them. It is refused with the error kind ``poison_request``.
 """
 
 from collections import OrderedDict
@@ -14,15 +14,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """One server's crash while a request with `fingerprint` was starting or running.
+    """A crash of a server while it started or ran a request with `fingerprint`.
 
     Attributes
     ----------
     server : str
-        The server with the number of its incarnation, so that two nodes that saw the
-        same crash count it once.
+        Server with the number of its incarnation, so that a crash seen by two nodes is
+        counted once.
     at : float
-        Seconds; used only for forgetting.
+        Clock time of the crash, seconds; used only for its expiry.
     """
 
     fingerprint: str
@@ -31,16 +31,25 @@
 
 
 class CrashTable:
-    """Crashes by fingerprint, bounded in number and time.
+    """Crashes by fingerprint, bounded in number and age.
 
-    Two crashes refuse a request: one may have any cause, and a third costs another
-    server with all its streams. Nodes tell each other with :meth:`recent` and
-    :meth:`merge`; repeats and order do not matter.
+    By default a request is refused after two crashes: a single one may have any cause,
+    and a third would cost another server with all its streams. Nodes exchange crashes
+    with :meth:`recent` and :meth:`merge`; repeats and order do not matter.
+
+    Parameters
+    ----------
+    refused_from : int
+        Number of crashes from which a request is refused.
+    memory_s : float
+        Time for which a crash counts, seconds.
+    max_fingerprints : int
+        Number of fingerprints kept; the least recently added to are dropped.
 
     Attributes
     ----------
     listeners : list of callable
-        Called with each :class:`Crash` that is new here.
+        Called with each :class:`Crash` that was not known to this node.
     """
 
     def __init__(
@@ -62,7 +71,7 @@
         )
 
     def add(self, crash: Crash) -> bool:
-        """Take in `crash`; return whether it was new."""
+        """Record `crash`; return whether it was new."""
         if not crash.fingerprint:
             return False
         servers = self.crashes.setdefault(crash.fingerprint, {})
@@ -78,11 +87,11 @@
         return True
 
     def merge(self, crashes: Iterable[Crash]) -> int:
-        """Take in what another node saw; return how many were new."""
+        """Record the crashes that another node saw; return how many were new."""
         return sum(self.add(crash) for crash in crashes)
 
     def recent(self, now: float, *, limit: int) -> list[Crash]:
-        """Return the newest crashes still remembered, newest first, to be told on."""
+        """Return the most recent crashes, newest first, to be sent to other nodes."""
         found: list[Crash] = []
         for fingerprint in reversed(self.crashes):
             for server, at in self.crashes[fingerprint].items():
@@ -93,7 +102,7 @@
         return found[:limit]
 
     def count(self, fingerprint: str, now: float) -> int:
-        """Return the remembered crashes of `fingerprint`."""
+        """Return the number of crashes of `fingerprint` that have not expired."""
         servers = self.crashes.get(fingerprint)
         if not servers:
             return 0
--- a/packages/endive_core/src/endive_core/exceptions.py
+++ b/packages/endive_core/src/endive_core/exceptions.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds, the table from kind to answer, and the exceptions.
+"""The closed list of error kinds, their responses, and the exceptions.
 
-Everything that can go wrong for a caller or an operator is one :class:`ErrorKind`.
-The table :data:`ANSWERS` says once, for all of the code, which HTTP status a kind
-gets, whether the request ran, and when it is worth coming back.
+Every error that a caller or an operator can get has an :class:`ErrorKind`. The table
+:data:`ANSWERS` defines for each kind the HTTP status, whether the request was executed,
+and after what time a retry is worthwhile.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class Executed(StrEnum):
-    """Whether a backend server ran the request that an error answers."""
+    """Whether a backend server executed the request that got the error."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -18,7 +18,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Every reason for which an answer can be an error."""
+    """All kinds of errors."""
 
     MALFORMED_BODY = "malformed_body"
     UNKNOWN_FIELD = "unknown_field"
@@ -55,17 +55,17 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """How one error kind is told to a caller.
+    """Response to a caller for one error kind.
 
     Attributes
     ----------
     status : int
         HTTP status code.
     executed : Executed
-        Whether a backend server ran the request.
+        Whether a backend server executed the request.
     retry_after_s : float or None
-        Seconds after which the same call is worth sending again when the place that
-        raised the error knows no better; ``None`` where coming back cannot help.
+        Default time after which a retry is worthwhile, seconds; ``None`` if a retry
+        cannot succeed.
     """
 
     status: int
@@ -108,7 +108,7 @@
     ErrorKind.CANCELLED: Answer(499, _UNKNOWN),
     ErrorKind.INTERNAL: Answer(500, _UNKNOWN, 1.0),
 }
-"""The answer for each kind; a test checks that no kind is missing."""
+"""Response for each error kind."""
 
 REFUSAL_KINDS = frozenset(
     {
@@ -133,11 +133,11 @@
         ErrorKind.INTERNAL,
     }
 )
-"""Kinds that refuse a well-formed request; each has a counter of its own."""
+"""Kinds for which a well-formed request is refused; each has its own counter."""
 
 
 class RetryReason(StrEnum):
-    """Why a request was sent to a backend server once more; each has a counter."""
+    """Why a request was sent to a backend server again; each has its own counter."""
 
     CONNECT_FAILED = "connect_failed"
     SERVER_BUSY = "server_busy"
@@ -148,23 +148,25 @@
 
 
 class EndiveError(Exception):
-    """Base of all errors, raised wherever a request or an order ends in an error.
+    """Base of all errors with which a request or an operator's order ends.
 
     Parameters
     ----------
     kind : ErrorKind
-        Decides status, ``executed`` and the default time to come back.
+        Determines status, ``executed`` and the default ``retry_after_s``.
     message : str
-        One sentence for a person.
+        Description for people.
     retry_after_s : float, optional
-        Seconds until coming back is worth it, when known better than the table.
+        Time after which a retry is worthwhile, seconds, if known better than the
+        default of the kind.
     details : dict, optional
-        Further JSON values for the error body, such as the winning version.
+        Further JSON values for the error body, such as the current version after a
+        version conflict.
 
     Attributes
     ----------
     request_id : str
-        Set where the request that the error answers is known.
+        Id of the request that got the error; empty if not known.
     """
 
     def __init__(
@@ -188,7 +190,11 @@
         )
 
     def to_body(self, request_id: str = "") -> dict:
-        """Return the JSON body callers of this API know, with our three fields."""
+        """Return the JSON error body of the API.
+
+        The fields ``executed``, ``request_id`` and ``retry_after_s`` extend the body
+        that clients of the API know.
+        """
         error = {
             "message": self.message,
             "type": "invalid_request_error" if self.status < 429 else "server_error",
--- a/packages/endive_core/src/endive_core/failures.py
+++ b/packages/endive_core/src/endive_core/failures.py
@@ -1,4 +1,4 @@
-"""What a failed attempt means: for its server, for the request, and for a retry."""
+"""Handles failed attempts: server pauses, crash attribution, retries and refusals."""
 
 from typing import TYPE_CHECKING
 
@@ -13,17 +13,28 @@
     from endive_core.resources import Deployment
 
 PAUSE_REASONS = (RetryReason.CONNECT_FAILED, RetryReason.SERVER_FAILED)
-"""Reasons after which a server gets no work for a while."""
+"""Reasons for which a server is paused."""
 
 MAX_TRACKED_CRASHES = 64
-"""Crashes whose suspects are kept while their broken streams come in one by one."""
+"""Number of crashes whose possible causes are kept, since the broken streams of a crash
+are reported one by one."""
 
 
 class Failures:
-    """Decides after each failed attempt: pause the server, blame, retry or refuse.
-
-    The load this is for: a server, a zone, or every server fails. Callers meet it as
-    a retry that they don't notice, or as one of the kinds of refusal.
+    """Decides after each failed attempt what becomes of the server and the request.
+
+    A single server, a zone, or every server may fail. The server may be paused, its
+    crash may be attributed to the request, and the request is either retried, which the
+    caller does not notice, or refused with an error kind.
+
+    Attributes
+    ----------
+    running : dict of str to set of Ticket
+        Tickets dispatched to each server.
+    crash_suspects : dict of str to set of Ticket
+        Tickets that may have caused each recent crash.
+    paused : list of ServerLoad
+        Paused servers, the first to be resumed first.
     """
 
     def __init__(
@@ -39,7 +50,7 @@
         self.paused: list[ServerLoad] = []
 
     def set_deployments(self, deployments: dict[str, "Deployment"]) -> None:
-        """Take over the deployments with their retry ratios."""
+        """Apply the deployments with their retry ratios."""
         for name, spec in deployments.items():
             self.budget(name).ratio = spec.retry_ratio
         for gone in self.budgets.keys() - deployments.keys():
@@ -54,7 +65,13 @@
         return self.budgets[deployment]
 
     def suspect(self, ticket: Ticket, crashed: str, now: float) -> None:
-        """Count a server's crash against `ticket` if it may have caused it."""
+        """Count a server's crash against `ticket` if it may have caused the crash.
+
+        Parameters
+        ----------
+        crashed : str
+            Server with the number of its incarnation; empty if it did not crash.
+        """
         if crashed and self._may_have_caused(ticket, crashed):
             self.crashes.add(Crash(ticket.call.fingerprint, crashed, now))
             ticket.suspect = True
@@ -62,10 +79,10 @@
     def _may_have_caused(self, ticket: Ticket, crashed: str) -> bool:
         """Return whether `ticket` may have caused the crash that ended it.
 
-        All that ran on the server broke, but what was starting is the likeliest
-        cause; streams are blamed only if nothing was. A server under notice was
-        reclaimed, and no request is to blame. Blaming every stream would refuse
-        innocent ones after the second reclaimed zone.
+        A crash ends all requests on the server, but those without a first token are the
+        likeliest cause; streams are suspected only if there were none. A server under a
+        reclaim notice was reclaimed and did not crash. If every stream were suspected,
+        requests that crashed nothing would be refused after the second reclaimed zone.
         """
         if crashed not in self.crash_suspects:
             running = self.running.get(ticket.server, set())
@@ -80,7 +97,7 @@
         return ticket in self.crash_suspects[crashed]
 
     def blame(self, server: ServerLoad, reason: RetryReason, now: float) -> None:
-        """Give a server that failed no work for a while."""
+        """Pause a server that failed, or treat one that was busy as full."""
         if reason is RetryReason.SERVER_BUSY:
             self.servers.mark_full(server)
         elif reason in PAUSE_REASONS and self.servers.pause(server):
@@ -91,7 +108,7 @@
             self.paused.sort(key=lambda paused: paused.view.failed_until)
 
     def resume(self, now: float) -> None:
-        """Give paused servers work again whose time is over."""
+        """Resume servers whose pause is over."""
         while self.paused and self.paused[0].view.failed_until <= now:
             server = self.paused.pop(0)
             server.paused = False
@@ -105,7 +122,13 @@
         started: bool,
         max_attempts: int,
     ) -> Retry | Refusal:
-        """Return whether and when `ticket` may be queued again."""
+        """Return the delay after which `ticket` is retried, or why it is refused.
+
+        Parameters
+        ----------
+        started : bool
+            Whether the server may have run any of the request.
+        """
         refusal = self._retry_refusal(ticket, now, started, max_attempts)
         if refusal is not None:
             return refusal
@@ -131,12 +154,14 @@
         if ticket.attempt >= max_attempts or self.servers.all_tried(ticket.avoid):
             kind = ErrorKind.BACKEND_FAILED if started else ErrorKind.NO_SERVER
             return Refusal.because(kind, "all attempts failed")
-        # The budget is for work that is repeated. What was never started cost next to
-        # nothing, and a zone's dead servers would use it up for streams they broke.
+        # The budget limits repeated work; an attempt that was not started costs little.
+        # If it counted, the streams broken by a zone's dead servers would spend the
+        # budget on attempts that only fail to connect.
         if started and not self.budget(call.deployment).spend(
             in_flight=self.servers.own_total
         ):
             return Refusal.because(
-                ErrorKind.RETRY_BUDGET_SPENT, "too many calls are being sent again"
+                ErrorKind.RETRY_BUDGET_SPENT,
+                "retry budget spent: too many calls are retried",
             )
         return None
--- a/packages/endive_core/src/endive_core/findings.py
+++ b/packages/endive_core/src/endive_core/findings.py
@@ -1,4 +1,4 @@
-"""Why something an operator asked for is not in force, from the configuration alone."""
+"""Finds why a resource of the configuration has no effect."""
 
 from endive_core.catalogue import Catalogue
 from endive_core.resources import (
@@ -10,10 +10,10 @@
 
 
 def findings(catalogue: Catalogue, kind: str, name: str) -> list[str]:
-    """Return one sentence for each reason why the resource can't do its work.
+    """Return one message for each reason why the resource has no effect.
 
-    Operators change resources in any order, so a dangling reference is no error when
-    it is written; it is told here, on the resource that suffers from it.
+    Operators change resources in any order, so a dangling reference is accepted when it
+    is written and reported here, for the resource that contains it.
     """
     resource = catalogue.named(kind, name)
     match resource:
@@ -29,7 +29,7 @@
         case Organisation():
             return _finding_unless(
                 bool(resource.caller_key_hashes),
-                "it has no caller_key_hashes, so its callers can't be told apart",
+                "caller_key_hashes is empty, so its callers cannot authenticate",
             )
     return []
 
@@ -47,7 +47,7 @@
     serving = catalogue.by_model.get(deployment.model)
     if serving != name:
         found.append(
-            f"the deployment {serving!r} already answers for {deployment.model!r}"
+            f"the deployment {serving!r} already serves the model {deployment.model!r}"
         )
     return found
 
@@ -60,8 +60,8 @@
         return [f"there is no model version {deployment.version!r}"]
     if version.model != deployment.model:
         return [
-            f"the model version {deployment.version!r} is of {version.model!r}, "
-            f"not of {deployment.model!r}"
+            f"the model version {deployment.version!r} belongs to the model "
+            f"{version.model!r}, not to {deployment.model!r}"
         ]
     return []
 
@@ -71,10 +71,10 @@
 ) -> list[str]:
     found = []
     if not service.servers:
-        found.append("it lists no servers")
+        found.append("the service lists no servers")
     used = any(d.service == name for d in catalogue.deployments.values())
     if service.type == "engine" and not used:
-        found.append("no deployment uses it")
+        found.append("no deployment uses this service")
     return found
 
 
--- a/packages/endive_core/src/endive_core/first_tokens.py
+++ b/packages/endive_core/src/endive_core/first_tokens.py
@@ -1,8 +1,8 @@
-"""What the times to first tokens tell of the servers.
+"""Updates the estimates that are derived from times to first token.
 
-Three things go by them: how fast the servers read prompts, which placement and capacity
-reckon with; how long a request takes to start, which admission predicts by; and which
-server is slower than its peers.
+These are the prefill rate of the servers, used by placement and capacity; the time that
+a request takes to start, used by admission; and each server's latency ratio, used to
+detect servers that are slower than their peers.
 """
 
 from endive_core.calls import Ticket
@@ -12,17 +12,17 @@
 from endive_core.servers import ServerLoad, ServerSet
 
 RATE_UPDATE_INTERVAL_S = 1.0
-"""How often the learned prefill rate is taken over, seconds; it changes over some
-twenty."""
+"""Interval at which the learned prefill rate is applied, seconds. The rate changes over
+some twenty seconds."""
 
 
 class FirstTokens:
-    """Learns from first tokens, and lets the other decisions reckon with it.
+    """Passes times to first token to the estimators, and applies the prefill rate.
 
     Attributes
     ----------
     prefill : PrefillRate or None
-        Learns the servers' prefill rate, where operators don't declare it.
+        Estimator of the servers' prefill rate; ``None`` if operators declare the rate.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self.next_rate_update_at = 0.0
 
     def take_rate(self, now: float) -> None:
-        """Let placement and admission reckon with the rate; one pass over all."""
+        """Set the learned prefill rate on all servers, once per interval."""
         if self.prefill is None or now < self.next_rate_update_at:
             return
         self.next_rate_update_at = now + RATE_UPDATE_INTERVAL_S
@@ -55,15 +55,19 @@
         *,
         tokens_per_s: float,
     ) -> None:
-        """Learn from the time to a first token.
+        """Update the estimates from a time to first token.
 
-        One that gave way waited for others, most of all if its prompt was long: counted
-        in, engines would look slower the more prompts came late.
+        Calls that yielded are left out. They waited for others, the longer their
+        prompts the more, so that engines would look slower the more prompts were late.
 
         Parameters
         ----------
+        server : ServerLoad or None
+            The server, unless it has been removed meanwhile.
+        seconds : float
+            Time from dispatch to first token.
         tokens_per_s : float
-            The prefill rate that was reckoned with.
+            Prefill rate that the expected time is based on.
         """
         if ticket.yields:
             return
--- a/packages/endive_core/src/endive_core/hashing.py
+++ b/packages/endive_core/src/endive_core/hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes: rendezvous choice and fingerprints, equal on every node."""
+"""Stable hashes, equal on every node: fingerprints, rendezvous hashing and shards."""
 
 from collections.abc import Iterable, Sequence
 
@@ -18,8 +18,8 @@
 def rendezvous_order(key: str, members: Iterable[str]) -> list[str]:
     """Return `members` from the best to the worst choice for `key`.
 
-    Every node that knows the same members computes the same order without talking,
-    and a member that leaves moves only the keys it held.
+    Nodes that know the same members compute the same order without communication, and
+    the removal of a member moves only the keys that it held.
     """
     return sorted(members, key=lambda m: (rendezvous_score(key, m), m), reverse=True)
 
--- a/packages/endive_core/src/endive_core/load_sizing.py
+++ b/packages/endive_core/src/endive_core/load_sizing.py
@@ -14,8 +14,8 @@
 class LoadMeter:
     """Recent peak of the work that arrives per second.
 
-    Work is measured in seconds of one server's time. The node that decides on the
-    capacity adds the sum over all nodes.
+    Work is measured in seconds of one server's time; the caller adds the sum over all
+    nodes.
 
     Parameters
     ----------
--- a/packages/endive_core/src/endive_core/prefilling.py
+++ b/packages/endive_core/src/endive_core/prefilling.py
@@ -1,47 +1,49 @@
-"""How long a prompt's tokens take at a model server, learned from first tokens.
+"""Estimates the prefill rate of model servers from times to first token.
 
-The load this is for: engines of a kind that nobody declared. Taken for twice as fast as
-they are, half of the servers that the load needs are ordered, and a server that holds a
-prompt's parts looks hardly better than one that must compute them.
+The rate of an engine may not be declared. If it is assumed to be twice as high as it
+is, half of the servers that the load needs are ordered, and placement hardly prefers a
+server that has a prompt's prefix cached to one that must compute it.
 
-What is learned is the slope of a line through the times to the first token over the
-prompt tokens to compute. Waits that have nothing to do with a prompt's length shift the
-line but don't turn it, so a busy hour looks no different from a quiet one. On three
-kinds of engines a prompt took 1.45 to 1.46 times as long as the engine alone needs for
-it, since it takes turns with other requests' tokens; that is what a caller waits for.
+The estimate is the slope of a regression line of the time to first token over the
+prompt tokens to compute. Waits that do not depend on a prompt's length shift the line
+without changing its slope, so the estimate does not depend on the load. A prompt takes
+about 1.45 times as long as the engine alone needs for it, since prefill is interleaved
+with the tokens of other requests; the estimate includes this, as it is what a caller
+waits for.
 """
 
 PRIOR_TOKENS_PER_S = 60_000.0
-"""Guess until first tokens have come: the middle of three kinds of engines measured,
-39,000, 63,000 and 75,000. Too low a guess costs some servers more for as long as it
-takes to learn, too high a one callers' time."""
+"""Prior estimate, tokens per second, about the median of three kinds of engines with
+39,000, 63,000 and 75,000. Until the rate is learned, too low a prior orders more
+servers than needed, and too high a one makes callers wait."""
 
 SMOOTHING = 0.01
-"""Weight of the newest first token: about the last hundred count, some twenty seconds
-of a node with 5 requests a second, so that a wave of reclaims, with its long waits, is
-not mistaken for slower engines."""
+"""Weight of the newest sample. About the last hundred samples count, which is twenty
+seconds of a node with 5 requests per second, so that the long waits during a wave of
+reclaims are not taken for slower engines."""
 
 PRIOR_SAMPLES = 5
 PRIOR_DEVIATION_TOKENS = 3_000.0
-"""First tokens, and how far their prompts differ in length, that weigh as much as the
-guess: after ten seconds of such a node the learned rate counts for most."""
+"""Weight of the prior: the number of samples, and the standard deviation of their
+prompt lengths, that weigh as much as the prior. After ten seconds of a node with 5
+requests per second the learned rate outweighs it."""
 
 MAX_TIMES_EXPECTED = 2.0
 MIN_BOUND_S = 1.0
-"""A first token counts as no later than so many times what was expected, or this: a
-server that hangs for ten seconds says nothing of prompts."""
+"""Upper bound of a sample: the larger of this multiple of the expected time and this
+number of seconds. A server that hangs for ten seconds says nothing about prefill."""
 
 MAX_FACTOR_FROM_PRIOR = 20.0
-"""Factor by which the learned rate may differ from the guess."""
+"""Greatest factor by which the learned rate may differ from the prior."""
 
 
 class PrefillRate:
-    """Prompt tokens a second, as a caller waits for them.
+    """Online estimate of the prefill rate, by exponentially weighted regression.
 
     Parameters
     ----------
     tokens_per_s : float
-        Guess until something is learned.
+        Prior estimate, tokens per second.
     """
 
     def __init__(self, tokens_per_s: float = PRIOR_TOKENS_PER_S) -> None:
@@ -53,7 +55,7 @@
         self.covariance = 0.0
 
     def learn(self, tokens: float, seconds: float) -> None:
-        """Take in the time to a first token of a prompt with `tokens` to compute."""
+        """Add the time to first token of a prompt with `tokens` to compute."""
         if self.samples:
             expected = self.mean_s + (tokens - self.mean_tokens) * self.token_s
             bound = max(MIN_BOUND_S, MAX_TIMES_EXPECTED * expected)
@@ -71,7 +73,7 @@
 
     @property
     def token_s(self) -> float:
-        """Seconds by which one more token to compute delays the first token."""
+        """Seconds by which each further token to compute delays the first token."""
         prior = PRIOR_SAMPLES * PRIOR_DEVIATION_TOKENS**2
         learned = self.samples * self.covariance + prior * self.prior_s
         slope = learned / (self.samples * self.variance + prior)
@@ -82,5 +84,5 @@
 
     @property
     def tokens_per_s(self) -> float:
-        """The same as a rate."""
+        """Estimated prefill rate, tokens per second."""
         return 1 / self.token_s
--- a/packages/endive_core/src/endive_core/prefixes.py
+++ b/packages/endive_core/src/endive_core/prefixes.py
@@ -1,4 +1,4 @@
-"""Prompt prefixes: their block hashes, and which servers are believed to hold them."""
+"""Hashes of prompt prefixes, and an index of the servers that presumably cache them."""
 
 from collections.abc import Iterable, Sequence
 
@@ -7,24 +7,24 @@
 from endive_core.messages import CHARACTERS_PER_TOKEN
 
 BLOCK_TOKENS = 16
-"""Tokens of one cache block of the engines."""
+"""Size of a cache block of the engines, tokens."""
 
 MAX_BLOCKS = 256
-"""Leading blocks hashed, 4,096 tokens: what lies beyond seldom tells two prompts apart
-that were equal so far, and the hashing of a long prompt stays cheap."""
+"""Number of leading blocks that are hashed, 4,096 tokens. Prompts that are equal up to
+there seldom differ later, and hashing a long prompt stays cheap."""
 
 SAMPLING_INTERVAL = 4
-"""One block in four is remembered. The prefix known to be cached is then up to three
-blocks too short (48 tokens, 2 ms of prefill), for a quarter of the memory."""
+"""One block in this many is indexed, which takes a quarter of the memory. A cached
+prefix is then underestimated by up to three blocks (48 tokens, 2 ms of prefill)."""
 
 
 def prefix_blocks(
     prompt: str, *, block_tokens: int = BLOCK_TOKENS, limit: int = MAX_BLOCKS
 ) -> tuple[int, ...]:
-    """Return the chained 64-bit hashes of the whole leading blocks of `prompt`.
+    """Return the chained 64-bit hashes of the complete leading blocks of `prompt`.
 
-    Each hash covers the hash before it, so equal hashes mean equal prefixes. The
-    engines publish the same hashes in their cache events.
+    Each hash covers the previous one, so equal hashes mean equal prefixes. The engines
+    publish the same hashes in their cache events.
     """
     size = block_tokens * CHARACTERS_PER_TOKEN
     blocks: list[int] = []
@@ -39,19 +39,26 @@
 def part_blocks(
     model: str, parts: Iterable[tuple[int, int]]
 ) -> tuple[tuple[int, ...], tuple[int, ...]]:
-    """Return the chained hashes of a prompt's named parts, and where each part ends.
+    """Return the chained hashes of a prompt's parts, and where each part ends.
 
     Parameters
     ----------
+    model : str
+        Model name, which the first hash covers.
     parts : iterable of (int, int)
-        Hash and tokens of each part, in order.
+        Hash and number of tokens of each part, in order.
+
+    Returns
+    -------
+    tuple of tuple of int
+        The hashes, and the number of prompt tokens up to the end of each part.
     """
     blocks: list[int] = []
     ends: list[int] = []
     parent, end = model, 0
     for part_id, tokens in parts:
         hashed = xxhash.xxh3_64_intdigest(f"{parent}\0{part_id}".encode())
-        # Parts are few and long: rounded, all of them are sampled.
+        # Parts are few and long, so all hashes are rounded to be sampled.
         blocks.append(hashed - hashed % SAMPLING_INTERVAL)
         parent = f"{hashed:016x}"
         end += tokens
@@ -60,15 +67,27 @@
 
 
 class PrefixIndex:
-    """Which servers are believed to hold a prompt block, bounded in size.
+    """Index of the servers that presumably cache a prompt block, bounded in size.
+
+    Entries are added when this node dispatches a call, and corrected by the cache
+    events of the engines, which arrive late and with gaps. A wrong entry costs a
+    recomputed prefix or a missed hit, but never a wrong answer. A gap in the events
+    therefore removes nothing: blocks are chained, and a known block implies those
+    before it.
+
+    The size is bounded by two generations. When the young generation is full it becomes
+    the old one, and blocks of the previous old generation that were not added or
+    removed since are dropped.
 
-    It is filled by this node's own dispatches at once, and corrected by the engines'
-    cache events, which come late and with gaps. Being wrong costs a recomputed prefix
-    or a missed hit, never an answer. So a gap removes nothing by itself: blocks are
-    chained, and one that is known implies those before it.
+    Parameters
+    ----------
+    max_blocks : int
+        Number of indexed blocks, both generations together.
 
-    Two generations bound it: when the younger is full it becomes the older, and what
-    was neither stored nor looked up since is forgotten.
+    Attributes
+    ----------
+    gaps : int
+        Number of missed cache events.
     """
 
     def __init__(self, *, max_blocks: int) -> None:
@@ -82,11 +101,11 @@
         return len(self.young) + len(self.old)
 
     def holders(self, block: int) -> tuple[str, ...]:
-        """Return the servers believed to hold `block`, newest last."""
+        """Return the servers that presumably hold `block`, the latest added last."""
         return self.young.get(block) or self.old.get(block, ())
 
     def add(self, server: str, blocks: Iterable[int]) -> None:
-        """Believe that `server` holds `blocks`."""
+        """Record that `server` holds `blocks`."""
         for block in blocks:
             if block % SAMPLING_INTERVAL:
                 continue
@@ -101,7 +120,7 @@
             self.old, self.young = self.young, {}
 
     def remove(self, server: str, blocks: Iterable[int]) -> None:
-        """Stop believing that `server` holds `blocks`."""
+        """Record that `server` no longer holds `blocks`."""
         for block in blocks:
             holders = self.holders(block)
             if server in holders:
@@ -111,7 +130,7 @@
     def event(
         self, server: str, seq: int, *, stored: bool, blocks: Sequence[int]
     ) -> None:
-        """Take over one cache event of `server`; one seen before does nothing."""
+        """Apply a cache event of `server`; a repeated event has no effect."""
         expected = self.next_seq.get(server, seq)
         if seq < expected:
             return
@@ -123,16 +142,17 @@
             self.remove(server, blocks)
 
     def forget_server(self, server: str) -> None:
-        """Forget the position in the events of a server that is gone.
+        """Forget the event sequence number of a server that was removed.
 
-        Its blocks age out: placement only asks about servers that take work.
+        Its blocks expire by themselves, and placement ignores servers that do not
+        accept work.
         """
         self.next_seq.pop(server, None)
 
     def prefix_holders(self, blocks: Sequence[int]) -> dict[str, int]:
-        """Return the known holders of leading `blocks`, with how many each holds.
+        """Return the servers that hold leading `blocks`, and how many each holds.
 
-        The deepest known block comes first; a server that holds a deeper block also
+        Servers with the longest prefix come first. A server that holds a block also
         holds those before it.
         """
         found: dict[str, int] = {}
--- a/packages/endive_core/src/endive_core/ring.py
+++ b/packages/endive_core/src/endive_core/ring.py
@@ -1,8 +1,8 @@
-"""Prefix affinity that all nodes compute alike: a hash ring of the servers.
+"""A consistent-hash ring of the servers, for prefix affinity that all nodes agree on.
 
-Rendezvous hashing agrees as well, but hashes every server for every request: its
-cost at 2,600 servers is in docs/DECISIONS.md. The ring is searched by bisection, and
-a server that leaves moves only the keys it held.
+Rendezvous hashing gives the same agreement, but hashes every server for every request;
+docs/DECISIONS.md has its cost with 2,600 servers. The ring is searched by bisection,
+and the removal of a server moves only the keys that it held.
 """
 
 from bisect import bisect_left
@@ -12,7 +12,13 @@
 
 
 class HashRing:
-    """Servers at many points of a ring of 64-bit hashes."""
+    """A hash ring with several points per member.
+
+    Parameters
+    ----------
+    points : int
+        Number of points of each member on the ring of 64-bit hashes.
+    """
 
     def __init__(self, *, points: int) -> None:
         self.points = points
@@ -20,7 +26,7 @@
         self.owners: list[str] = []
 
     def set_members(self, members: Iterable[str]) -> None:
-        """Place `members`, and no others, on the ring."""
+        """Replace the members of the ring."""
         placed = sorted(
             (rendezvous_score(member, str(point)), member)
             for member in members
@@ -30,10 +36,10 @@
         self.owners = [member for _, member in placed]
 
     def candidates(self, key: str, count: int) -> list[str]:
-        """Return up to `count` distinct members for `key`, the first choice first.
+        """Return up to `count` distinct members for `key` in order of preference.
 
-        Each choice is looked up with a hash of its own, so that the keys of one full
-        server overflow to all others and not to one neighbour.
+        Each choice is looked up with a separate hash, so that the keys of a full server
+        overflow to all others instead of to its successor on the ring.
         """
         found: list[str] = []
         if not self.hashes:
--- a/packages/endive_core/src/endive_core/routing.py
+++ b/packages/endive_core/src/endive_core/routing.py
@@ -1,7 +1,7 @@
-"""What operators have in force: routes, services, organisations and limits.
+"""The configuration in force: routes, services, organisations and limits.
 
-A table is immutable and replaced as a whole, so that a request is judged by one
-version from its first check to its last.
+A routing table is immutable and replaced as a whole, so that each request is processed
+by a single version of the configuration.
 """
 
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated of a route's requests."""
+    """Whether and how a route's requests may be sent again."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """One service that gets a part of a route's requests."""
+    """A service that gets a weighted part of a route's requests."""
 
     service: str
     weight: float
@@ -27,22 +27,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and on what terms.
+    """Services and limits for the requests of one host and path prefix.
 
     Attributes
     ----------
     timeout_s : float
-        Longest time that a request may be kept waiting, seconds.
+        Longest time that a request may wait, seconds.
     target_s : float
-        Time to the answer, or to a stream's first event, that callers expect.
+        Target time to the answer, or to the first event of a stream, seconds.
     priority : int
-        Rank, 0 the highest.
+        Priority, 0 the highest.
     max_attempts : int
-        Servers to which one request may be sent.
+        Number of servers to which a request may be sent.
+    public : bool
+        Whether callers need no key.
     resumable : bool
-        Whether a stream may go on at another server after its last event.
+        Whether a stream may be resumed at another server after its last event.
     engine : bool
-        Whether its servers run models and cache prompts.
+        Whether the servers run models and cache prompts.
     """
 
     name: str
@@ -61,13 +63,19 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent once more."""
+        """Whether a request that may have run may be sent again."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
 
     def choose(self, draw: float) -> str:
-        """Return the service for a request; `draw` is uniform from 0 up to 1."""
+        """Return the service for a request.
+
+        Parameters
+        ----------
+        draw : float
+            Random number, uniform from 0 up to 1.
+        """
         remaining = draw * sum(split.weight for split in self.splits)
         for split in self.splits:
             remaining -= split.weight
@@ -78,18 +86,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Scaling:
-    """Bounds and prices of a service whose servers are ordered.
+    """Bounds and prices of a service with automatic scaling.
 
     Attributes
     ----------
     min_servers, max_servers : int
         Servers in each availability zone, reclaimable ones included.
     boot_s : float
-        Time from the order to the first request served.
+        Time from the order of a server to its first request, seconds.
     reclaimable_price : float
-        Price of a reclaimable server, as a part of the others'.
+        Price of a reclaimable server as a fraction of that of an on-demand server.
     zone_prices : mapping of str to float
-        Price of a server for a second in each availability zone.
+        Price per second of a server in each availability zone.
     """
 
     min_servers: int
@@ -101,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """What the servers of a model service can do besides answering."""
+    """Properties of the engines of a model service."""
 
     slots: int = 0
     tokens_per_event: int = 1
@@ -119,18 +127,18 @@
 
 @dataclass(frozen=True, slots=True)
 class OrganisationTerms:
-    """What one organisation may send.
+    """Priority and rate limit of one organisation.
 
     Attributes
     ----------
     priority : int or None
-        Goes before the route's priority.
+        Overrides the priority of the route.
     rate, burst : float
-        Units a second, and units at once beyond that; a rate of 0 is no limit.
+        Units per second, and units in a burst beyond that; a rate of 0 means no limit.
     counts_tokens : bool
-        Whether the unit is a token; else it is a request.
+        Whether the unit is a token; otherwise it is a request.
     plain_tokens : int
-        Tokens that a request counts which names none.
+        Tokens charged for a request that does not state its prompt tokens.
     """
 
     name: str
@@ -141,7 +149,7 @@
     plain_tokens: int = 1
 
     def units(self, prompt_tokens: int | None, max_tokens: int | None) -> float:
-        """Return the units of a request that names so many tokens, or none."""
+        """Return the units charged for a request, by the tokens that it states."""
         if not self.counts_tokens:
             return 1.0
         if prompt_tokens is None:
@@ -151,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send, and on how long it may take."""
+    """Bounds on the size of a caller's request and on the time to send it."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -161,14 +169,16 @@
 
 @dataclass(frozen=True)
 class RoutingTable:
-    """One version of the configuration, indexed for look-up.
+    """One version of the configuration, indexed for lookup.
 
     Attributes
     ----------
     keys : mapping of str to str
-        Caller keys with the organisation that holds each.
+        Organisation of each caller key.
     organisations : mapping or None
-        ``None`` if callers need no key at all.
+        Organisations by name; ``None`` if callers need no keys.
+    by_host : dict
+        Routes by host and path prefix.
     """
 
     version: int
@@ -184,10 +194,11 @@
             self.by_host.setdefault(route.host, {})[route.path_prefix] = route
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins `path`.
+        """Return the route with the longest path prefix of `path`, or ``None``.
 
-        Prefixes end with a slash, so each slash of the path is tried from the last
-        to the first: the cost grows with the path's depth, not with the routes.
+        Prefixes end with a slash, so the path is looked up to each of its slashes, the
+        last one first. The cost grows with the depth of the path, not with the number
+        of routes.
         """
         prefixes = self.by_host.get(host)
         if not prefixes:
--- a/packages/endive_core/src/endive_core/shifting.py
+++ b/packages/endive_core/src/endive_core/shifting.py
@@ -1,9 +1,9 @@
-"""Shifting: streams leave servers under notice, dearest to recompute first.
+"""Plans the migration of streams from a server under a reclaim notice.
 
-The load this is for: a whole zone is reclaimed with seconds of notice, and a second
-zone often follows. What hasn't moved when the server goes is computed again from the
-prompt on; so within the time left the streams that would cost most go first, by KV
-export as long as it fits, and those that end in time are left alone.
+A whole zone is reclaimed with seconds of notice, and a second zone often follows. A
+stream that has not been migrated when its server stops must be computed again from the
+prompt on. So the streams that cost most to recompute are migrated first, by KV cache
+export as long as the time allows, and those that end in time are left where they are.
 """
 
 from collections.abc import Iterable
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Shift:
-    """One stream's way off a server under notice.
+    """How one stream leaves a server under a reclaim notice.
 
     Attributes
     ----------
     starts_at_s : float
-        Seconds from now at which its export starts.
+        Time from now until its export starts, seconds.
     """
 
     ticket: Ticket
@@ -37,7 +37,7 @@
 
 
 def recompute_tokens(ticket: Ticket) -> int:
-    """Return the tokens to compute again if the stream's cache is lost."""
+    """Return the tokens to compute again if the stream's KV cache is lost."""
     return ticket.call.prompt_tokens + ticket.tokens
 
 
@@ -49,13 +49,27 @@
     export_tokens_per_s: float,
     margin_s: float,
 ) -> list[Shift]:
-    """Return how each stream of one server leaves it, in the order to act.
+    """Return how each stream leaves the server, in the order of execution.
 
     A stream that ends within the time left finishes in place. The others are exported
-    one after the other, dearest first, while the notice lasts; the rest resume
-    elsewhere from prompt and tokens so far, which counts as recomputed. A stream of a
-    non-idempotent call may only be exported, since the export confirms that the
-    source stopped; else it stays and finishes if it can.
+    one after the other, the most expensive to recompute first, while the notice lasts.
+    The rest resume on other servers from the prompt and the tokens so far, which are
+    computed again. A stream of a non-idempotent call may only be exported, since the
+    export confirms that the source has stopped; otherwise it stays and finishes if it
+    can.
+
+    Parameters
+    ----------
+    tickets : iterable of Ticket
+        Streams of the server.
+    seconds_left : float
+        Time until the server is reclaimed, seconds.
+    decode_tokens_per_s : float
+        Rate at which a stream produces tokens.
+    export_tokens_per_s : float
+        Rate at which KV cache is exported, tokens per second.
+    margin_s : float
+        Part of the time left that is not used, seconds.
     """
     budget = max(0.0, seconds_left - margin_s)
     finishing: list[Shift] = []
--- a/packages/endive_core/src/endive_core/suspicions.py
+++ b/packages/endive_core/src/endive_core/suspicions.py
@@ -1,9 +1,10 @@
-"""Failing servers, found by what all nodes see together.
+"""Ejects failing servers, based on the failures that all nodes have seen.
 
-The load this is for: a tenth of the servers answers each request with a failure, at
-once, and so looks idle. One node of sixty sends each of 45 servers a request in three
-seconds, and would need a quarter of a minute to tell it from chance; all together need
-half a second. Callers would get a failure for one request in eight meanwhile.
+A server that answers every request with an immediate failure looks idle and attracts
+work. If a tenth of the servers does, one request in eight fails. A single node sees too
+few failures to detect this soon: one of sixty nodes sends each of 45 servers one
+request in three seconds, and needs 15 s to tell a failing server from chance. All nodes
+together need half a second, so they exchange their failure counts.
 """
 
 from collections import Counter, deque
@@ -11,45 +12,60 @@
 from dataclasses import dataclass
 
 WINDOW_S = 2.0
-"""Time for which a failure counts, seconds: two rounds of tellings among 87 nodes."""
+"""Time for which a failure counts, seconds: two rounds of gossip among 87 nodes."""
 
 MIN_FAILURES = 6
 MIN_NODES = 2
-"""Failures of one server within the window that prove something, and nodes that must
-have seen some: one node alone may have a broken link to it."""
+"""Failures of a server within the window, and nodes that saw some, from which it may be
+ejected. A single node may just have a broken link to the server."""
 
 FAILURE_RATIO = 4.0
-"""Failures, as a multiple of the other servers' mean, from which one is suspected.
-Where all fail alike nothing is gained by avoiding some."""
+"""Failures, as a multiple of the mean of the other servers, from which a server is
+ejected. If all fail alike, nothing is gained by avoiding some."""
 
 MAX_EJECTED_SHARE = 0.25
-"""Part of the servers that may be suspected: the rest must carry the load."""
+"""Part of the servers that may be ejected, since the rest must carry the load."""
 
 MIN_SERVERS = 3
-"""Servers from which one may be suspected, though it is more than that part. A service
-of three has callers get a failure for one request in four for as long as one of them
-fails two in three: too few reach any one of a hundred nodes to be told by it alone.
-With two, nothing says which is the odd one."""
+"""Number of servers from which one may be ejected, even if that is more than
+:data:`MAX_EJECTED_SHARE`. If one of three servers fails two requests in three, one
+request in four fails, and each of a hundred nodes sends too few requests to detect it
+by itself. With two servers there is no majority to compare with."""
 
 BASE_EJECTION_S = 3.0
 MAX_EJECTION_S = 12.0
-"""How long a suspect gets no work the first time, and at most, seconds. It doubles for
-one that fails again within as long after it was tried anew."""
+"""Duration of the first ejection, and the longest, seconds. It doubles if a server is
+ejected again within that duration after it got work again."""
 
 MAX_REPORTED_SERVERS = 10
-"""Servers in one telling, those with most failures: some 200 bytes of a datagram."""
+"""Servers reported to other nodes, those with most failures: some 200 bytes of a
+datagram."""
 
 
 @dataclass
 class Ejection:
-    """One server's time without work."""
+    """An ejection of one server.
+
+    Attributes
+    ----------
+    until : float
+        Clock time at which the server gets work again, seconds.
+    """
 
     until: float
     duration_s: float
 
 
 class Suspicions:
-    """Counts failures by server, here and at the other nodes."""
+    """Counts the failures of each server at all nodes and ejects those that stand out.
+
+    Attributes
+    ----------
+    local_failures : deque
+        Times and servers of the failures that this node has seen.
+    remote_counts : dict
+        For each other node, when its last counts arrived, and its failures by server.
+    """
 
     def __init__(self) -> None:
         self.local_failures: deque[tuple[float, str]] = deque()
@@ -57,25 +73,25 @@
         self.ejections: dict[str, Ejection] = {}
 
     def failed(self, server: str, now: float) -> None:
-        """Count a failure that this node met at `server`."""
+        """Count a failure of `server` that this node has seen."""
         self.local_failures.append((now, server))
 
     def tell(self, now: float) -> dict[str, int]:
-        """Return this node's failures of late by server, for the other nodes."""
+        """Return this node's recent failures by server, to be sent to other nodes."""
         while self.local_failures and self.local_failures[0][0] < now - WINDOW_S:
             self.local_failures.popleft()
         counts = Counter(server for _, server in self.local_failures)
         return dict(counts.most_common(MAX_REPORTED_SERVERS))
 
     def hear(self, node: str, counts: Mapping[str, int], now: float) -> None:
-        """Take over another node's failures of late."""
+        """Apply the recent failures by server that another node has sent."""
         if counts:
             self.remote_counts[node] = (now, counts)
         else:
             self.remote_counts.pop(node, None)
 
     def suspects(self, servers: Collection[str], now: float) -> set[str]:
-        """Return those of `servers` that get no work for now."""
+        """Return those of `servers` that are ejected at `now`."""
         totals, nodes = self._totals(servers, now)
         total = sum(totals.values())
         max_ejected = int(MAX_EJECTED_SHARE * len(servers))
@@ -95,7 +111,7 @@
     def _totals(
         self, servers: Collection[str], now: float
     ) -> tuple[Counter[str], Counter[str]]:
-        """Return failures by server, and the number of nodes that saw some."""
+        """Return by server the failures and the number of nodes that saw some."""
         totals, nodes = Counter(), Counter()
         known = set(servers)
         for node, (received_at, counts) in list(self.remote_counts.items()):
@@ -114,11 +130,12 @@
         if ejection is None:
             self.ejections[server] = Ejection(now + BASE_EJECTION_S, BASE_EJECTION_S)
         elif now >= ejection.until:
-            # The failures before its hold have left the window: it was tried again.
+            # The failures that led to the ejection have left the window, so these are
+            # new ones.
             ejection.duration_s = min(MAX_EJECTION_S, 2 * ejection.duration_s)
             ejection.until = now + ejection.duration_s
 
 
 def _is_over(ejection: Ejection, now: float) -> bool:
-    """Return whether a server has done well for as long as it had no work."""
+    """Return whether a server has stayed well for as long as it was ejected."""
     return now > ejection.until + max(WINDOW_S, ejection.duration_s)
