--- a/packages/endive_core/tests/test_capacity.py
+++ b/packages/endive_core/tests/test_capacity.py
@@ -27,7 +27,7 @@
 
 
 def decide(needed, ready, *, now=100.0, on_demand=None, **options):
-    """Decide with `ready` reclaimable servers by zone."""
+    """Return the desired servers with `ready` reclaimable servers by zone."""
     pools = {Pool(zone, True): PoolState(ready=n) for zone, n in ready.items()}
     for zone, n in (on_demand or {}).items():
         pools[Pool(zone, False)] = PoolState(ready=n)
@@ -42,11 +42,11 @@
 
 
 def test_the_load_is_carried_without_any_two_zones():
-    """Two zones' reclaimable servers go within seconds. What is left must carry the
-    load until others have started, or first tokens come late for seconds."""
+    """Two zones' reclaimable servers are reclaimed within seconds. The remaining ones
+    must carry the load until others have started, or first tokens are late."""
     for needed in (0.5, 1.7, 2.4, 3.0, 4.2, 5.9):
-        spread = by_kind(decide(needed, {"a": 9, "b": 9, "c": 9}), True)
-        assert min(spread.values()) >= needed - 0.1
+        by_zone = by_kind(decide(needed, {"a": 9, "b": 9, "c": 9}), True)
+        assert min(by_zone.values()) >= needed - 0.1
 
 
 def test_with_more_zones_each_holds_less():
@@ -61,43 +61,43 @@
 
 
 def test_a_server_that_crashed_brings_no_on_demand_ones():
-    """A reclaimable server crashes, and another one starts in its place. An on-demand
-    one would be there no sooner, and be paid for five times as long."""
+    """A reclaimable server crashes, and another one is started in its place. An
+    on-demand server would be ready no sooner and cost five times as much."""
     wanted = decide(3.0, {"a": 3, "b": 1, "c": 0})
     assert sum(by_kind(wanted, False).values()) == 0
 
 
 def test_servers_at_the_start_stay_until_the_reclaimable_ones_are_ready():
-    """Operators start with on-demand servers, and reclaimable ones were just ordered.
-    Were the first given back now, callers would meet no server for seconds."""
-    start = {Pool("a", False): 2, Pool("b", False): 1}
-    wanted = decide(3.0, {}, ordered=start)
+    """A service starts with on-demand servers, and reclaimable ones have just been
+    ordered. If the former were released now, there would be no server for seconds."""
+    initial = {Pool("a", False): 2, Pool("b", False): 1}
+    wanted = decide(3.0, {}, ordered=initial)
     assert by_kind(wanted, False) == {"a": 2, "b": 1, "c": 0}
-    wanted = decide(3.0, {"a": 2}, ordered=start)
+    wanted = decide(3.0, {"a": 2}, ordered=initial)
     assert sum(by_kind(wanted, False).values()) == 1
-    wanted = decide(3.0, {"a": 2, "b": 1}, ordered=start)
+    wanted = decide(3.0, {"a": 2, "b": 1}, ordered=initial)
     assert sum(by_kind(wanted, False).values()) == 0
 
 
 def test_reclaimable_servers_are_ordered_only_where_on_demand_ones_leave_room():
-    """Operators started two on-demand servers in each zone, where four may be. The
-    cloud takes an order for four more, starts two, and forgets the others; half of the
-    servers were then missing for a quarter of a minute, and first tokens came late."""
-    few = scaling(max_servers=4)
-    start = {Pool(zone, False): 2 for zone in ZONES}
-    wanted = decide(5.0, {}, scaling=few, ordered=start)
+    """Each zone allows four servers and has two on-demand ones. The cloud accepts an
+    order for four more, starts two, and drops the others. Half of the servers were then
+    missing for 15 s, and first tokens were late."""
+    limited = scaling(max_servers=4)
+    initial = {Pool(zone, False): 2 for zone in ZONES}
+    wanted = decide(5.0, {}, scaling=limited, ordered=initial)
     assert by_kind(wanted, True) == dict.fromkeys(ZONES, 2)
     ready = dict.fromkeys(ZONES, 2)
-    wanted = decide(5.0, ready, scaling=few, ordered=start)
+    wanted = decide(5.0, ready, scaling=limited, ordered=initial)
     assert by_kind(wanted, False) == dict.fromkeys(ZONES, 0)
-    wanted = decide(5.0, ready, scaling=few)
+    wanted = decide(5.0, ready, scaling=limited)
     assert by_kind(wanted, True) == dict.fromkeys(ZONES, 4)
 
 
 def test_on_demand_servers_that_are_leaving_still_take_room():
-    few = scaling(max_servers=4)
+    limited = scaling(max_servers=4)
     pools = {Pool("a", False): PoolState(leaving=1)}
-    view = CapacityView(few, pools, 5.0, 100.0)
+    view = CapacityView(limited, pools, 5.0, 100.0)
     assert desired_servers(view)[Pool("a", True)] == 3
     ordered = replace(view, ordered={Pool("a", True): 4})
     assert desired_servers(ordered)[Pool("a", True)] == 4
@@ -108,9 +108,9 @@
 
 
 def test_in_a_wave_a_part_of_the_load_is_covered_against_two_zones_more():
-    """One of three zones is reclaimed and the cloud has nothing reclaimable to give.
-    Should the others go too, within the same second, callers must meet servers until
-    more have started."""
+    """One of three zones is reclaimed and the cloud refuses reclaimable servers. If the
+    other zones are reclaimed within the same second, on-demand servers must carry a
+    part of the load until more have started."""
     options = {"reclaimed_at": 99.0}
     covered = math.ceil(COVERED_FRACTION * 5.0)
     wanted = decide(5.0, {"a": 5, "b": 5}, refused=refused_in("c"), **options)
@@ -148,8 +148,8 @@
 
 
 def test_on_demand_servers_stay_in_the_zones_where_they_run():
-    """Prices or room change while on-demand servers run. Moved to another zone, each
-    would have to start again, and the load would be without it meanwhile."""
+    """Prices or room change while on-demand servers run. A server moved to another zone
+    would have to start again, and its capacity would be missing meanwhile."""
     wanted = decide(
         3.0,
         {},
@@ -167,8 +167,8 @@
 
 
 def test_no_zone_gets_more_than_the_most_of_both_kinds():
-    few = scaling(max_servers=3)
-    wanted = decide(20.0, {"a": 3, "b": 3, "c": 3}, scaling=few, reclaimed_at=99.0)
+    limited = scaling(max_servers=3)
+    wanted = decide(20.0, {"a": 3, "b": 3, "c": 3}, scaling=limited, reclaimed_at=99.0)
     for zone in ZONES:
         both = wanted[Pool(zone, True)] + wanted[Pool(zone, False)]
         assert both <= 3
--- a/packages/endive_core/tests/test_clocks.py
+++ b/packages/endive_core/tests/test_clocks.py
@@ -11,8 +11,8 @@
 
 
 def test_a_clock_that_jumped_is_outvoted():
-    """The time of day on some instances jumps ahead by 40 minutes. A holder that
-    followed it would report windows that have not come yet."""
+    """The time of day on this instance jumps ahead by 40 minutes. A node that used it
+    would report time windows that have not come yet."""
     clocks = Clocks()
     made = clocks.made()
     for node in "abc":
--- a/packages/endive_core/tests/test_failures.py
+++ b/packages/endive_core/tests/test_failures.py
@@ -13,8 +13,8 @@
 
 
 def test_outage_does_not_multiply_the_load():
-    """Every server fails everything it is sent. Without a budget each call would be
-    sent four times, and the servers could not recover."""
+    """Every server fails every request. Without a retry budget each call would be sent
+    four times, and the servers could not recover."""
     made = scheduler(servers=8, slots=32, retry_burst=2)
     tickets = start(made, 40)
     verdicts = [
@@ -38,8 +38,8 @@
 
 
 def test_request_that_crashed_two_servers_is_refused_wherever_it_comes():
-    """One request crashes each server that runs it, and its caller sends it again to
-    another node, which has only heard of the crashes."""
+    """A request crashes each server that runs it. Its caller sends it again to another
+    node, which knows of the crashes only from the first node."""
     made = scheduler(servers=4, slots=8)
     ticket = made.offer(call(fingerprint="bad"), 0.0)
     for crash in ("s0@1", "s1@1"):
--- a/packages/endive_core/tests/test_outliers.py
+++ b/packages/endive_core/tests/test_outliers.py
@@ -24,8 +24,8 @@
 
 
 def test_slow_server_gets_only_probes_until_it_is_as_fast_as_its_peers():
-    """One of five servers has become four times slower without failing, so that 1 call
-    in 5 misses its target."""
+    """One of five servers becomes four times slower without failing, so that 1 call in
+    5 misses its target."""
     made = detector([0.1, 0.1, 0.4, 0.1, 0.1])
     slow = made.servers.servers["s2"]
     assert slow.slow
@@ -59,10 +59,11 @@
 
 
 def test_a_failing_server_is_found_before_all_peers_have_many_latencies():
-    """One of three servers fails every request, and chance has sent another one only
-    four so far. Until that one had a fifth, a third of all callers got a failure."""
+    """One of three servers fails every request, and another one has by chance got only
+    four requests so far. If the comparison waited for its fifth, a third of the callers
+    would get a failure until then."""
     made = detector([0.1, 0.1, 0.1])
-    failing, rare, _ = made.servers.servers.values()
+    failing, rarely_used, _ = made.servers.servers.values()
     for server in made.servers.servers.values():
         server.samples = 0
     observe(made, [0.1] * 3, times=MIN_SAMPLES - 1)
@@ -71,36 +72,38 @@
         made.failed(failing)
     made.compare(2.0)
     assert failing.slow
-    assert not rare.slow
+    assert not rarely_used.slow
 
 
 def test_one_late_answer_does_not_hide_a_server_that_fails():
     """One of three servers fails every request, and the first answer of another one was
-    very late. Were that one taken for the slow one, the failing one would go on."""
+    very late. Only one may be marked: if that were the late one, the failing one would
+    get further requests."""
     made = detector([0.1] * 3)
-    late, failing, well = made.servers.servers.values()
-    for server in (late, failing, well):
+    late_once, failing, healthy = made.servers.servers.values()
+    for server in (late_once, failing, healthy):
         server.samples = 0
-    made.observe(late, seconds=30.0, expected_s=0.1)
+    made.observe(late_once, seconds=30.0, expected_s=0.1)
     for _ in range(MIN_SAMPLES):
         made.failed(failing)
-        made.observe(late, seconds=0.1, expected_s=0.1)
-        made.observe(well, seconds=0.1, expected_s=0.1)
+        made.observe(late_once, seconds=0.1, expected_s=0.1)
+        made.observe(healthy, seconds=0.1, expected_s=0.1)
     made.compare(2.0)
     assert made.slow == [failing]
 
 
 def test_a_slow_server_that_is_gone_gets_no_probe():
-    """A slow server leaves before its probe is due. The probe's request would go to a
-    server that nobody knows any more, and fail."""
+    """A slow server is removed before its probe is due. A probe request would be sent
+    to a server that is no longer known, and fail."""
     made = detector([0.1, 0.1, 0.4, 0.1, 0.1])
     made.servers.set_servers(view(f"s{i}", slots=8) for i in (0, 1, 3, 4))
     assert made.probe(7.0) is None
 
 
 def test_a_server_that_fails_quickly_is_no_good_choice():
-    """One of five servers fails two in five requests at once, its health good. By its
-    latency it is the best of all, and would draw ever more requests."""
+    """One of five servers fails two in five requests immediately while its health
+    checks succeed. By its latency it looks best, and would attract ever more
+    requests."""
     made = detector([0.1] * 5)
     failing = made.servers.servers["s3"]
     for turn in range(30):
@@ -126,8 +129,8 @@
 
 
 def test_a_server_that_fails_under_all_nodes_gets_no_work_and_no_probe():
-    """Other nodes tell of a server that fails. This one has hardly sent it anything,
-    and each of its probes would be one more caller's failure."""
+    """Other nodes report a failing server to which this node has sent hardly anything.
+    Each probe would be one more failed request of a caller."""
     made = detector([0.1] * 5)
     made.suspicions = Suspicions()
     made.suspicions.hear("b", {"s2": 9}, 1.5)
--- a/packages/endive_core/tests/test_placement.py
+++ b/packages/endive_core/tests/test_placement.py
@@ -16,8 +16,8 @@
 
 
 def test_no_server_is_tried_by_its_hash_where_the_policy_says_none():
-    """Operators set the number of such servers to zero. All lengths of the prompt were
-    hashed instead, and nodes went on to agree."""
+    """With ``affinity_candidates`` set to zero, all prefix lengths of the prompt were
+    hashed instead of none, so that the nodes still agreed on a server."""
     chosen = {
         sent(scheduler(servers=8, slots=32, seed=seed, affinity_candidates=0))
         for seed in range(7)
@@ -26,15 +26,15 @@
 
 
 def test_popular_prefix_does_not_fill_its_server_while_others_idle():
-    """Every call shares one long system prompt. Affinity alone would send all of them
-    to one server."""
+    """All calls share one long system prompt. With affinity alone they would all be
+    sent to one server."""
     made = scheduler(servers=8, slots=32)
     taken = Counter(sent(made, number) for number in range(60))
     assert max(taken.values()) < 20
 
 
 def test_stale_cache_event_costs_no_call():
-    """An event says that a server holds the prefix, but that server is leaving."""
+    """A cache event says that a server holds the prefix, but the server is leaving."""
     made = scheduler(servers=3, slots=8)
     made.cache_event("s0", 0, stored=True, blocks=list(PREFIX))
     made.leaving("s0")
@@ -47,8 +47,8 @@
 
 
 def test_suspects_of_a_crash_start_on_different_servers():
-    """Two requests ran on a server that crashed, and one of them is the cause. Sent to
-    one server again they would both be counted a second time."""
+    """Two requests ran on a server that crashed, and one of them is the cause. If both
+    were sent to the same server again, the next crash would be counted against both."""
     made = scheduler(servers=3, slots=8)
     for number in range(2):
         made.offer(call(number, fingerprint=f"f{number}"), 0.0)
--- a/packages/endive_core/tests/test_prefilling.py
+++ b/packages/endive_core/tests/test_prefilling.py
@@ -6,12 +6,12 @@
 
 
 def first_tokens(count, token_s, *, wait_s=0.0, seed=1):
-    """Draw prompts with a heavy tail and the times to their first tokens."""
+    """Yield prompt lengths with a heavy tail, and their times to first token."""
     chance = random.Random(seed)
     for _ in range(count):
         tokens = min(54_000.0, chance.lognormvariate(8.0, 1.2))
-        waited = chance.expovariate(1 / wait_s) if wait_s else 0.0
-        yield tokens, 0.02 + waited + tokens * token_s
+        wait = chance.expovariate(1 / wait_s) if wait_s else 0.0
+        yield tokens, 0.02 + wait + tokens * token_s
 
 
 def learned(rate, samples):
@@ -22,19 +22,20 @@
 
 @pytest.mark.parametrize("true_us", [5.0, 18.0, 80.0])
 def test_the_rate_is_known_within_ten_seconds_of_a_node(true_us):
-    """A new kind of engine reads prompts three times faster, or five times slower, than
-    any met before. Servers are ordered, and prompts placed, by what is learned."""
-    found = learned(PrefillRate(), first_tokens(50, true_us * 1e-6))
-    assert found == pytest.approx(true_us * 1e-6, rel=0.15)
+    """A new kind of engine has a prefill rate three times higher, or five times lower,
+    than the prior. Capacity and placement depend on the estimate."""
+    estimate = learned(PrefillRate(), first_tokens(50, true_us * 1e-6))
+    assert estimate == pytest.approx(true_us * 1e-6, rel=0.15)
 
 
 def test_waits_do_not_look_like_slow_engines():
-    """In a wave of reclaims first tokens wait half a second, whatever their length.
-    Taken for slow engines, twice the servers would be ordered at the highest price."""
+    """In a wave of reclaims first tokens wait half a second, whatever the prompt
+    length. If this lowered the estimate, twice as many servers would be ordered, at the
+    highest price."""
     rate = PrefillRate()
     learned(rate, first_tokens(100, 18e-6))
-    found = learned(rate, first_tokens(100, 18e-6, wait_s=0.5, seed=2))
-    assert found == pytest.approx(18e-6, rel=0.35)
+    estimate = learned(rate, first_tokens(100, 18e-6, wait_s=0.5, seed=2))
+    assert estimate == pytest.approx(18e-6, rel=0.35)
 
 
 def test_a_server_that_hangs_says_nothing_of_prompts():
@@ -47,14 +48,14 @@
 def test_a_change_of_the_engines_is_followed():
     rate = PrefillRate()
     learned(rate, first_tokens(200, 18e-6))
-    found = learned(rate, first_tokens(300, 9e-6, seed=3))
-    assert found == pytest.approx(9e-6, rel=0.15)
+    estimate = learned(rate, first_tokens(300, 9e-6, seed=3))
+    assert estimate == pytest.approx(9e-6, rel=0.15)
 
 
 def test_the_guess_holds_while_nothing_is_known():
     rate = PrefillRate(50_000.0)
     assert rate.tokens_per_s == pytest.approx(50_000.0)
-    for _ in range(100):  # equal prompts tell nothing of the slope
+    for _ in range(100):  # prompts of equal length give no slope
         rate.learn(1000.0, 0.4)
     assert rate.tokens_per_s == pytest.approx(50_000.0)
 
--- a/packages/endive_core/tests/test_prefixes.py
+++ b/packages/endive_core/tests/test_prefixes.py
@@ -17,8 +17,8 @@
 
 
 def test_gap_in_the_events_does_not_hide_a_prefix():
-    """The event that told of the middle of a prompt was lost. Its end is known to be
-    cached, and blocks are chained, so the middle must be there too."""
+    """The cache event for the middle of a prompt is lost. The end is known to be
+    cached, and blocks are chained, so the middle must be cached too."""
     index = PrefixIndex(max_blocks=1000)
     index.event("s0", 0, stored=True, blocks=list(BLOCKS[:10]))
     index.event("s0", 2, stored=True, blocks=list(BLOCKS[20:30]))
--- a/packages/endive_core/tests/test_servers.py
+++ b/packages/endive_core/tests/test_servers.py
@@ -22,7 +22,7 @@
 
 def test_nodes_that_read_the_same_report_do_not_all_fill_its_free_slots():
     """Seven nodes, each with a queue, read that 4 of 32 slots are free. If each filled
-    them, 28 requests would come to 4 slots and wait for streams to end."""
+    them, 28 requests would be sent to 4 slots and wait for streams to end."""
     sent = 0
     for seed in range(70):
         made = servers(seed=seed)
@@ -34,8 +34,8 @@
 
 
 def test_burst_at_all_nodes_does_not_overrun_idle_servers():
-    """A batch reaches all nodes in the same second. The servers' reports say that all
-    is free until half a second later."""
+    """A batch reaches all nodes in the same second. The servers' reports show all slots
+    as free until half a second later."""
     sent = sum(fill(servers(count=8, seed=seed), Tier.BULK) for seed in range(7))
     assert 8 * 32 * 0.5 < sent <= 8 * 32 * 1.1
 
@@ -87,9 +87,9 @@
 
 
 def test_a_server_that_is_gone_is_not_offered_again_when_its_last_work_ends():
-    """A server is paused or marked slow, then leaves for good, and what still ran there
-    ends. Put back among those with room, it would be chosen for a request, which fails
-    because nobody knows the server any more."""
+    """A server is paused or marked slow, then removed, and a request that still ran
+    there ends. If the server were indexed again, it would be chosen for a request,
+    which would fail because the server is no longer known."""
     made = servers(count=2)
     gone = made.servers["s0"]
     made.pause(gone)
@@ -102,8 +102,8 @@
 
 
 def test_many_nodes_find_the_few_idle_slots_of_a_small_service():
-    """87 nodes stand before four servers of six slots, all idle. A single request must
-    not wait because 86 others might come at the same moment."""
+    """87 nodes share four idle servers of six slots. A single request must not wait
+    because the other 86 nodes might send one at the same moment."""
     made = servers(count=4, slots=6, nodes=87)
     for server in made.servers:
         made.report(server, 0, 0, as_of=1.0)
@@ -113,9 +113,9 @@
 
 
 def test_servers_that_leave_together_leave_the_rest_in_the_same_order():
-    """A zone's servers are taken away at once. In the order of a set, which differs
-    from process to process, the servers drawn at random afterwards would differ too,
-    and two plays of one seed could not be compared."""
+    """A zone's servers are removed at once. If they were removed in the order of a set,
+    which differs between processes, the servers drawn at random afterwards would differ
+    too, and simulations with the same seed could not be compared."""
     made = servers(count=40)
     one_by_one = servers(count=40)
     names = list(made.servers)
--- a/packages/endive_core/tests/test_shifting.py
+++ b/packages/endive_core/tests/test_shifting.py
@@ -25,16 +25,16 @@
 
 
 def test_dearest_streams_are_exported_first_and_the_rest_resume():
-    """A server is reclaimed in 3 s, and 2 s of exports move 2,000 tokens. What doesn't
-    fit is computed again, so that must be the cheapest."""
-    cheap = stream(0, prompt_tokens=300)
-    dear = stream(1, prompt_tokens=1500)
+    """A server is reclaimed in 3 s, and 2 s of exports move 2,000 tokens. The streams
+    that do not fit are computed again, so these must be the cheapest."""
+    cheapest = stream(0, prompt_tokens=300)
+    dearest = stream(1, prompt_tokens=1500)
     middle = stream(2, prompt_tokens=400)
-    planned, shifts = plan([cheap, dear, middle])
-    assert [shift.ticket for shift in shifts] == [dear, middle, cheap]
-    assert planned[dear].starts_at_s == 0
+    planned, shifts = plan([cheapest, dearest, middle])
+    assert [shift.ticket for shift in shifts] == [dearest, middle, cheapest]
+    assert planned[dearest].starts_at_s == 0
     assert planned[middle].starts_at_s > 1
-    assert planned[cheap].method is ShiftMethod.RESUME
+    assert planned[cheapest].method is ShiftMethod.RESUME
 
 
 def test_stream_that_ends_in_time_is_left_alone():
@@ -43,8 +43,8 @@
 
 
 def test_non_idempotent_stream_is_never_computed_again():
-    """A priced quote doesn't fit into the exports. Resumed elsewhere it might run
-    twice."""
+    """A non-idempotent stream does not fit into the exports. If it were resumed on
+    another server it might run twice."""
     quote = stream(0, prompt_tokens=9000, non_idempotent=True)
     planned, _ = plan([quote])
     assert planned[quote].method is ShiftMethod.FINISH
--- a/packages/endive_core/tests/test_suspicions.py
+++ b/packages/endive_core/tests/test_suspicions.py
@@ -13,15 +13,15 @@
 )
 
 SERVERS = [f"s{number}" for number in range(45)]
-LIARS = set(SERVERS[:4])
-TELL_S = 0.7
+FAILING_SERVERS = set(SERVERS[:4])
+GOSSIP_INTERVAL_S = 0.7
 
 FEW_SERVERS = ("server-a", "server-b", "server-c")
 MANY_NODES = 100
 REQUESTS_PER_S = 35
 FAILING_SHARE = 0.69
-TOLD_EVERY_S = 1.0
-LENGTH_S = 25.0
+MANY_NODES_GOSSIP_INTERVAL_S = 1.0
+DURATION_S = 25.0
 
 
 def failed(made, server, times, now=10.0):
@@ -29,40 +29,40 @@
         made.failed(server, now)
 
 
-def failures_of(nodes, *, telling, seconds=8.0, each_s=0.001):
-    """Play `nodes` before servers of which four fail all; return the failed share."""
+def failed_share(nodes, *, gossip, seconds=8.0, each_s=0.001):
+    """Simulate `nodes` with four failing servers; return the share of failures."""
     random = Random(7)
-    fleet = [Suspicions() for _ in range(nodes)]
-    suspects = [set() for _ in fleet]
-    asked = lost = 0
+    trackers = [Suspicions() for _ in range(nodes)]
+    suspects = [set() for _ in trackers]
+    requests = failures = 0
     for tick in range(int(seconds / each_s)):
         now = tick * each_s
         number = random.randrange(nodes)
-        if telling and tick % int(TELL_S / nodes / each_s + 1) == 0:
-            teller = (tick // int(TELL_S / nodes / each_s + 1)) % nodes
-            told = fleet[teller].tell(now)
+        if gossip and tick % int(GOSSIP_INTERVAL_S / nodes / each_s + 1) == 0:
+            sender = (tick // int(GOSSIP_INTERVAL_S / nodes / each_s + 1)) % nodes
+            counts = trackers[sender].tell(now)
             for other in range(nodes):
-                if other != teller:
-                    fleet[other].hear(str(teller), told, now)
+                if other != sender:
+                    trackers[other].hear(str(sender), counts, now)
         if tick % 50 == 0:
-            suspects[number] = fleet[number].suspects(SERVERS, now)
+            suspects[number] = trackers[number].suspects(SERVERS, now)
             for other in range(nodes):
-                suspects[other] = fleet[other].suspects(SERVERS, now)
-        open_ = [s for s in SERVERS if s not in suspects[number]]
-        server = random.choice(open_)
-        asked += 1
-        if server in LIARS:
-            lost += 1
-            fleet[number].failed(server, now)
-    return lost / asked
+                suspects[other] = trackers[other].suspects(SERVERS, now)
+        usable = [s for s in SERVERS if s not in suspects[number]]
+        server = random.choice(usable)
+        requests += 1
+        if server in FAILING_SERVERS:
+            failures += 1
+            trackers[number].failed(server, now)
+    return failures / requests
 
 
 def test_sixty_nodes_together_avoid_servers_that_fail_everything():
-    """A thousand requests a second go to 45 servers of which four answer each with a
-    failure. Each node alone sees too few of them; together they cut the failures to a
-    third within eight seconds."""
-    assert failures_of(60, telling=False) > 0.08
-    assert failures_of(60, telling=True) < 0.03
+    """A thousand requests per second are sent to 45 servers, of which four fail every
+    request. Each node alone sees too few failures; together the nodes reduce the failed
+    requests to a third within eight seconds."""
+    assert failed_share(60, gossip=False) > 0.08
+    assert failed_share(60, gossip=True) < 0.03
 
 
 def test_one_nodes_failures_alone_suspect_nobody():
@@ -72,8 +72,8 @@
 
 
 def test_where_all_servers_fail_alike_none_is_suspected():
-    """A fault that all share, such as bad requests, would else leave the load to a few
-    servers, one after the other."""
+    """Otherwise a fault that all servers share, such as invalid requests, would eject
+    one server after the other and leave the load to a few."""
     made = Suspicions()
     made.hear("b", dict.fromkeys(SERVERS, MIN_FAILURES), 10.0)
     made.hear("c", dict.fromkeys(SERVERS, MIN_FAILURES), 10.0)
@@ -95,13 +95,13 @@
     made.hear("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3)
     assert made.suspects(SERVERS, 10.1) == {"s1"}
-    tried = 10.1 + BASE_EJECTION_S + 0.1
-    assert made.suspects(SERVERS, tried) == set()
-    made.hear("b", {"s1": 9}, tried)
-    failed(made, "s1", 3, tried)
-    assert made.suspects(SERVERS, tried + 0.1) == {"s1"}
-    assert made.suspects(SERVERS, tried + BASE_EJECTION_S + 1.0) == {"s1"}
-    assert made.suspects(SERVERS, tried + 2 * BASE_EJECTION_S + 1.0) == set()
+    resumed_at = 10.1 + BASE_EJECTION_S + 0.1
+    assert made.suspects(SERVERS, resumed_at) == set()
+    made.hear("b", {"s1": 9}, resumed_at)
+    failed(made, "s1", 3, resumed_at)
+    assert made.suspects(SERVERS, resumed_at + 0.1) == {"s1"}
+    assert made.suspects(SERVERS, resumed_at + BASE_EJECTION_S + 1.0) == {"s1"}
+    assert made.suspects(SERVERS, resumed_at + 2 * BASE_EJECTION_S + 1.0) == set()
 
 
 def test_what_a_node_told_long_ago_counts_no_more():
@@ -118,44 +118,44 @@
     assert len(made.tell(1.0)) == MAX_REPORTED_SERVERS
 
 
-def failures_of_few(seed, failing):
-    """Play many nodes before three servers; return the part of requests that fail."""
+def failed_share_of_few(seed, failing):
+    """Simulate many nodes with three servers; return the failed share of requests."""
     random = Random(seed)
-    fleet = [Suspicions() for _ in range(MANY_NODES)]
-    told_at = [random.random() * TOLD_EVERY_S for _ in fleet]
-    asked = lost = 0
-    while (now := asked / REQUESTS_PER_S) < LENGTH_S:
-        for number, due_at in enumerate(told_at):
+    trackers = [Suspicions() for _ in range(MANY_NODES)]
+    next_gossip_at = [random.random() * MANY_NODES_GOSSIP_INTERVAL_S for _ in trackers]
+    requests = failures = 0
+    while (now := requests / REQUESTS_PER_S) < DURATION_S:
+        for number, due_at in enumerate(next_gossip_at):
             if now >= due_at:
-                told_at[number] += TOLD_EVERY_S
-                tell_others(fleet, number, now)
-        node = random.choice(fleet)
+                next_gossip_at[number] += MANY_NODES_GOSSIP_INTERVAL_S
+                gossip_counts(trackers, number, now)
+        node = random.choice(trackers)
         suspects = node.suspects(FEW_SERVERS, now)
         server = random.choice([s for s in FEW_SERVERS if s not in suspects])
-        asked += 1
+        requests += 1
         if server in failing and random.random() < FAILING_SHARE:
             node.failed(server, now)
-            lost += 1
-    return lost / asked
+            failures += 1
+    return failures / requests
 
 
-def tell_others(fleet, number, now):
-    told = fleet[number].tell(now)
-    for other, node in enumerate(fleet):
+def gossip_counts(trackers, number, now):
+    counts = trackers[number].tell(now)
+    for other, node in enumerate(trackers):
         if other != number:
-            node.hear(str(number), told, now)
+            node.hear(str(number), counts, now)
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_one_failing_server_of_three_is_found_by_many_nodes(seed):
-    """One of three servers answers two requests in three with a failure, and a hundred
-    nodes send it a request in ten seconds each. Callers would get a failure for 23
-    requests in 100 for as long as it goes on; under 10 do."""
-    assert failures_of_few(seed, FEW_SERVERS[:1]) < 0.1
+    """One of three servers fails two requests in three, and each of a hundred nodes
+    sends it one request in ten seconds. Without ejection 23 requests in 100 would fail
+    for as long as the fault lasts; with it, less than 10 do."""
+    assert failed_share_of_few(seed, FEW_SERVERS[:1]) < 0.1
 
 
 def test_one_of_two_servers_is_not_suspected():
-    """Without a third server nothing says which of two is the odd one."""
+    """With two servers there is no majority to compare with."""
     servers = FEW_SERVERS[: MIN_SERVERS - 1]
     made = Suspicions()
     failed(made, servers[0], MIN_FAILURES, now=1.0)
@@ -165,4 +165,4 @@
 
 def test_two_failing_servers_of_three_keep_their_work():
     """Where most servers fail, the third alone could not carry the load."""
-    assert failures_of_few(1, FEW_SERVERS[:2]) == pytest.approx(0.46, abs=0.08)
+    assert failed_share_of_few(1, FEW_SERVERS[:2]) == pytest.approx(0.46, abs=0.08)
