--- a/packages/endive_core/src/endive_core/outliers.py
+++ b/packages/endive_core/src/endive_core/outliers.py
@@ -19,7 +19,8 @@
 """Latencies needed before a server counts as a peer. It is lower than
 :data:`MIN_SAMPLES`, because a server may by chance have few latencies: with the same
 bound, the comparison that marks one of three servers which fails every request came
-half a second later, and 16 to 21 of 90 callers got a failure instead of 5 to 11."""
+half a second later, and in some runs 16 to 21 of 90 callers got a failure instead of 5
+to 11."""
 
 COMPARISON_RETRY_S = 0.1
 """Time until the next comparison while there are too few peers, seconds."""
--- a/packages/endive_core/src/endive_core/servers.py
+++ b/packages/endive_core/src/endive_core/servers.py
@@ -141,11 +141,13 @@
     random : Random
         Source of randomness, seeded by the node.
     reserved_share : float
-        Part of a server's slots that is reserved for the higher tiers.
+        Part of a server's slots kept from bulk calls, and two thirds of it also from
+        organisations over their share.
     divided_share : float
         Part of a server's slots that the nodes divide when no more are free.
     giving_way : float
-        Slots that the lower tiers free for each reserved slot that is taken.
+        Slots that bulk calls and organisations over their share must free for each
+        reserved slot that is taken.
 
     Attributes
     ----------
