--- a/packages/endive_core/tests/test_capacity.py
+++ b/packages/endive_core/tests/test_capacity.py
@@ -60,14 +60,14 @@
     assert sum(by_kind(wanted, False).values()) == 0
 
 
-def test_a_server_that_crashed_brings_no_on_demand_ones():
+def test_a_crashed_server_is_not_replaced_by_an_on_demand_one():
     """A reclaimable server crashes, and another one is started in its place. An
     on-demand server would be ready no sooner and cost five times as much."""
     wanted = decide(3.0, {"a": 3, "b": 1, "c": 0})
     assert sum(by_kind(wanted, False).values()) == 0
 
 
-def test_servers_at_the_start_stay_until_the_reclaimable_ones_are_ready():
+def test_initial_servers_stay_until_the_reclaimable_ones_are_ready():
     """A service starts with on-demand servers, and reclaimable ones have just been
     ordered. If the former were released now, there would be no server for seconds."""
     initial = {Pool("a", False): 2, Pool("b", False): 1}
@@ -136,7 +136,7 @@
     assert sum(by_kind(wanted, False).values()) == 26 - 8
 
 
-def test_where_nothing_reclaimable_is_to_be_had_all_of_the_load_is_on_demand():
+def test_without_reclaimable_servers_all_of_the_load_is_on_demand():
     wanted = decide(3.0, {}, refused=refused_in(*ZONES))
     assert sum(by_kind(wanted, False).values()) == 3
 
@@ -159,14 +159,14 @@
     assert by_kind(wanted, False) == {"a": 0, "b": 2, "c": 1}
 
 
-def test_a_zone_that_refused_is_not_asked_for_more_than_it_has():
+def test_no_more_is_ordered_from_a_zone_that_refused_than_it_has():
     refused = refused_in("a")
     wanted = decide(3.0, {"a": 0, "b": 2, "c": 2}, refused=refused)
     assert by_kind(wanted, True)["a"] == 0
     assert by_kind(decide(3.0, {"a": 0}, refused=refused, now=102.0), True)["a"] == 3
 
 
-def test_no_zone_gets_more_than_the_most_of_both_kinds():
+def test_no_zone_gets_more_than_max_servers_of_both_kinds():
     limited = scaling(max_servers=3)
     wanted = decide(20.0, {"a": 3, "b": 3, "c": 3}, scaling=limited, reclaimed_at=99.0)
     for zone in ZONES:
@@ -174,7 +174,7 @@
         assert both <= 3
 
 
-def test_no_zone_gets_fewer_than_the_least():
+def test_no_zone_gets_fewer_than_min_servers():
     wanted = decide(0.1, {"a": 5, "b": 5, "c": 5}, scaling=scaling(min_servers=2))
     for zone in ZONES:
         assert wanted[Pool(zone, True)] + wanted[Pool(zone, False)] >= 2
--- a/packages/endive_core/tests/test_clocks.py
+++ b/packages/endive_core/tests/test_clocks.py
@@ -21,7 +21,7 @@
     assert abs(made.now() - 1_000_000.1) < 0.2
 
 
-def test_others_that_jumped_are_outvoted():
+def test_other_clocks_that_jumped_are_outvoted():
     clocks = Clocks()
     made = clocks.made()
     for node, wall_time in zip(
@@ -31,7 +31,7 @@
     assert abs(made.now() - 1_000_000.1) < 0.2
 
 
-def test_a_node_that_is_gone_has_no_vote():
+def test_the_clock_of_a_node_that_is_gone_does_not_count():
     clocks = Clocks()
     made = clocks.made()
     made.hear("a", 5.0)
--- a/packages/endive_core/tests/test_exceptions.py
+++ b/packages/endive_core/tests/test_exceptions.py
@@ -1,7 +1,7 @@
 from endive_core.exceptions import ANSWERS, REFUSAL_KINDS, EndiveError, ErrorKind
 
 
-def test_every_kind_has_an_answer():
+def test_every_kind_has_a_response():
     assert set(ANSWERS) == set(ErrorKind)
 
 
--- a/packages/endive_core/tests/test_failures.py
+++ b/packages/endive_core/tests/test_failures.py
@@ -56,7 +56,7 @@
     assert not isinstance(other.offer(call(fingerprint="good"), 1.0), Refusal)
 
 
-def test_streams_under_way_are_not_blamed_for_what_another_started():
+def test_running_streams_are_not_suspected_if_another_request_was_starting():
     made = scheduler(servers=1, slots=8, admission_margin=1.0)
     streaming, starting = start(made, 2)
     made.started(streaming, 0.1)
@@ -68,7 +68,7 @@
     assert made.crashes.count(streaming.call.fingerprint, 1.0) == 0
 
 
-def test_reclaimed_server_blames_no_request():
+def test_the_end_of_a_reclaimed_server_is_not_counted_as_a_crash():
     made = scheduler(servers=2, slots=8)
     (ticket,) = start(made, 1)
     made.leaving(ticket.server)
@@ -76,7 +76,7 @@
     assert made.crashes.count(ticket.call.fingerprint, 1.0) == 0
 
 
-def test_crashes_are_forgotten_in_time_and_one_crash_is_counted_once():
+def test_crashes_expire_and_one_crash_is_counted_once():
     made = scheduler(crash_memory_s=60.0)
     for at in (0.0, 1.0):
         made.crashes.add(Crash("f", "s0@1", at))
--- a/packages/endive_core/tests/test_findings.py
+++ b/packages/endive_core/tests/test_findings.py
@@ -10,7 +10,7 @@
     return configured
 
 
-def test_dangling_references_are_told_on_the_deployment():
+def test_dangling_references_are_reported_for_the_deployment():
     configured = catalogue(
         chat=Deployment(model="chat", service="engines", version="chat-1")
     )
@@ -25,7 +25,7 @@
     assert "belongs to the model 'other', not to 'chat'" in messages[1]
 
 
-def test_second_deployment_of_a_model_is_told_which_one_answers():
+def test_second_deployment_of_a_model_reports_which_one_serves_it():
     configured = catalogue(
         a=Deployment(model="chat", service="s"), b=Deployment(model="chat", service="s")
     )
--- a/packages/endive_core/tests/test_outliers.py
+++ b/packages/endive_core/tests/test_outliers.py
@@ -92,7 +92,7 @@
     assert made.slow == [failing]
 
 
-def test_a_slow_server_that_is_gone_gets_no_probe():
+def test_a_slow_server_that_was_removed_gets_no_probe():
     """A slow server is removed before its probe is due. A probe request would be sent
     to a server that is no longer known, and fail."""
     made = detector([0.1, 0.1, 0.4, 0.1, 0.1])
@@ -100,7 +100,7 @@
     assert made.probe(7.0) is None
 
 
-def test_a_server_that_fails_quickly_is_no_good_choice():
+def test_a_server_that_fails_quickly_is_marked():
     """One of five servers fails two in five requests immediately while its health
     checks succeed. By its latency it looks best, and would attract ever more
     requests."""
@@ -128,7 +128,7 @@
     assert not made.slow
 
 
-def test_a_server_that_fails_under_all_nodes_gets_no_work_and_no_probe():
+def test_a_server_ejected_for_the_failures_of_all_nodes_gets_no_work_and_no_probe():
     """Other nodes report a failing server to which this node has sent hardly anything.
     Each probe would be one more failed request of a caller."""
     made = detector([0.1] * 5)
--- a/packages/endive_core/tests/test_placement.py
+++ b/packages/endive_core/tests/test_placement.py
@@ -10,12 +10,12 @@
     return dispatch_all(made)[0].server
 
 
-def test_nodes_agree_on_the_server_of_a_prefix_without_talking():
+def test_nodes_agree_on_the_server_of_a_prefix_without_communication():
     chosen = {sent(scheduler(servers=8, slots=32, seed=seed)) for seed in range(7)}
     assert len(chosen) == 1
 
 
-def test_no_server_is_tried_by_its_hash_where_the_policy_says_none():
+def test_zero_affinity_candidates_disable_prefix_affinity():
     """With ``affinity_candidates`` set to zero, all prefix lengths of the prompt were
     hashed instead of none, so that the nodes still agreed on a server."""
     chosen = {
--- a/packages/endive_core/tests/test_prefilling.py
+++ b/packages/endive_core/tests/test_prefilling.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("true_us", [5.0, 18.0, 80.0])
-def test_the_rate_is_known_within_ten_seconds_of_a_node(true_us):
+def test_the_rate_is_learned_within_ten_seconds_of_a_node(true_us):
     """A new kind of engine has a prefill rate three times higher, or five times lower,
     than the prior. Capacity and placement depend on the estimate."""
     estimate = learned(PrefillRate(), first_tokens(50, true_us * 1e-6))
@@ -38,21 +38,21 @@
     assert estimate == pytest.approx(18e-6, rel=0.35)
 
 
-def test_a_server_that_hangs_says_nothing_of_prompts():
+def test_a_server_that_hangs_hardly_changes_the_estimate():
     rate = PrefillRate()
     learned(rate, first_tokens(100, 18e-6))
     rate.learn(50_000.0, 14.0)
     assert rate.token_s == pytest.approx(18e-6, rel=0.5)
 
 
-def test_a_change_of_the_engines_is_followed():
+def test_the_estimate_follows_a_change_of_the_engines():
     rate = PrefillRate()
     learned(rate, first_tokens(200, 18e-6))
     estimate = learned(rate, first_tokens(300, 9e-6, seed=3))
     assert estimate == pytest.approx(9e-6, rel=0.15)
 
 
-def test_the_guess_holds_while_nothing_is_known():
+def test_the_prior_holds_while_nothing_is_learned():
     rate = PrefillRate(50_000.0)
     assert rate.tokens_per_s == pytest.approx(50_000.0)
     for _ in range(100):  # prompts of equal length give no slope
@@ -67,7 +67,7 @@
     assert rate.tokens_per_s == pytest.approx(50_000.0 * MAX_FACTOR_FROM_PRIOR)
 
 
-def test_placement_and_admission_reckon_with_what_is_learned():
+def test_the_learned_rate_is_applied_to_the_servers():
     made = scheduler()
     made.prefill = PrefillRate(50_000.0)
     now = 0.0
--- a/packages/endive_core/tests/test_prefixes.py
+++ b/packages/endive_core/tests/test_prefixes.py
@@ -42,7 +42,7 @@
     assert index.prefix_holders(BLOCKS[:5])["s1"] == 5
 
 
-def test_named_parts_are_chained_and_end_where_they_say():
+def test_parts_are_chained_and_end_at_their_token_counts():
     blocks, ends = part_blocks("m", [(1, 100), (2, 50)])
     assert ends == (100, 150)
     assert part_blocks("m", [(1, 100), (3, 10)])[0][0] == blocks[0]
@@ -50,7 +50,7 @@
     assert part_blocks("n", [(1, 100)])[0][0] != blocks[0]
 
 
-def test_every_named_part_is_remembered():
+def test_every_part_is_indexed():
     index = PrefixIndex(max_blocks=100)
     blocks, _ = part_blocks("m", [(part, 10) for part in range(8)])
     index.add("s", blocks)
--- a/packages/endive_core/tests/test_servers.py
+++ b/packages/endive_core/tests/test_servers.py
@@ -86,7 +86,7 @@
     assert len(made.taking) == 1
 
 
-def test_a_server_that_is_gone_is_not_offered_again_when_its_last_work_ends():
+def test_a_removed_server_is_not_indexed_again_when_its_last_request_ends():
     """A server is paused or marked slow, then removed, and a request that still ran
     there ends. If the server were indexed again, it would be chosen for a request,
     which would fail because the server is no longer known."""
--- a/packages/endive_core/tests/test_shifting.py
+++ b/packages/endive_core/tests/test_shifting.py
@@ -24,7 +24,7 @@
     return {shift.ticket: shift for shift in shifts}, shifts
 
 
-def test_dearest_streams_are_exported_first_and_the_rest_resume():
+def test_most_expensive_streams_are_exported_first_and_the_rest_resume():
     """A server is reclaimed in 3 s, and 2 s of exports move 2,000 tokens. The streams
     that do not fit are computed again, so these must be the cheapest."""
     cheapest = stream(0, prompt_tokens=300)
--- a/packages/endive_core/tests/test_suspicions.py
+++ b/packages/endive_core/tests/test_suspicions.py
@@ -65,13 +65,13 @@
     assert failed_share(60, gossip=True) < 0.03
 
 
-def test_one_nodes_failures_alone_suspect_nobody():
+def test_failures_at_a_single_node_eject_no_server():
     made = Suspicions()
     failed(made, "s1", 50)
     assert made.suspects(SERVERS, 10.1) == set()
 
 
-def test_where_all_servers_fail_alike_none_is_suspected():
+def test_where_all_servers_fail_alike_none_is_ejected():
     """Otherwise a fault that all servers share, such as invalid requests, would eject
     one server after the other and leave the load to a few."""
     made = Suspicions()
@@ -81,7 +81,7 @@
     assert made.suspects(SERVERS, 10.1) == set()
 
 
-def test_at_most_a_part_of_the_servers_is_suspected():
+def test_at_most_a_part_of_the_servers_is_ejected():
     made = Suspicions()
     made.hear("b", dict.fromkeys(SERVERS[:8], 1000), 10.0)
     made.hear("c", dict.fromkeys(SERVERS[:8], 1000), 10.0)
@@ -90,7 +90,7 @@
     assert len(made.suspects(SERVERS, 10.1)) <= MAX_EJECTED_SHARE * len(SERVERS)
 
 
-def test_a_suspect_is_tried_again_and_longer_avoided_if_it_still_fails():
+def test_an_ejected_server_is_tried_again_and_ejected_for_longer_if_it_still_fails():
     made = Suspicions()
     made.hear("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3)
@@ -104,14 +104,14 @@
     assert made.suspects(SERVERS, resumed_at + 2 * BASE_EJECTION_S + 1.0) == set()
 
 
-def test_what_a_node_told_long_ago_counts_no_more():
+def test_old_counts_of_another_node_expire():
     made = Suspicions()
     made.hear("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3, 10.0 + WINDOW_S)
     assert made.suspects(SERVERS, 10.1 + WINDOW_S) == set()
 
 
-def test_a_telling_stays_small():
+def test_the_exchanged_counts_are_bounded():
     made = Suspicions()
     for server in SERVERS:
         made.failed(server, 1.0)
@@ -154,7 +154,7 @@
     assert failed_share_of_few(seed, FEW_SERVERS[:1]) < 0.1
 
 
-def test_one_of_two_servers_is_not_suspected():
+def test_one_of_two_servers_is_not_ejected():
     """With two servers there is no majority to compare with."""
     servers = FEW_SERVERS[: MIN_SERVERS - 1]
     made = Suspicions()
