--- a/packages/endive_core/src/endive_core/capacity.py
+++ b/packages/endive_core/src/endive_core/capacity.py
@@ -74,7 +74,7 @@
 
 
 @dataclass
-class Refused:
+class PoolBackoff:
     """Back-off of a pool that refused the last order.
 
     Attributes
--- a/packages/endive_core/src/endive_core/clocks.py
+++ b/packages/endive_core/src/endive_core/clocks.py
@@ -31,7 +31,7 @@
     at: float
 
 
-class TrueTime:
+class ClusterClock:
     """Time of day as the median of the clocks of all nodes.
 
     Parameters
@@ -47,7 +47,7 @@
         self.wall_time = wall_time
         self.readings: dict[str, ClockReading] = {}
 
-    def hear(self, node: str, wall_time: float) -> None:
+    def receive(self, node: str, wall_time: float) -> None:
         """Record another node's time of day; it is late by the network delay."""
         now = self.monotonic()
         self.readings[node] = ClockReading(wall_time - now, now)
--- a/packages/endive_core/src/endive_core/suspicions.py
+++ b/packages/endive_core/src/endive_core/ejection.py
@@ -56,7 +56,7 @@
     duration_s: float
 
 
-class Suspicions:
+class ClusterEjection:
     """Counts the failures of each server at all nodes and ejects those that stand out.
 
     Attributes
@@ -76,21 +76,21 @@
         """Count a failure of `server` that this node has seen."""
         self.local_failures.append((now, server))
 
-    def tell(self, now: float) -> dict[str, int]:
+    def own_counts(self, now: float) -> dict[str, int]:
         """Return this node's recent failures by server, to be sent to other nodes."""
         while self.local_failures and self.local_failures[0][0] < now - WINDOW_S:
             self.local_failures.popleft()
         counts = Counter(server for _, server in self.local_failures)
         return dict(counts.most_common(MAX_REPORTED_SERVERS))
 
-    def hear(self, node: str, counts: Mapping[str, int], now: float) -> None:
+    def receive(self, node: str, counts: Mapping[str, int], now: float) -> None:
         """Apply the recent failures by server that another node has sent."""
         if counts:
             self.remote_counts[node] = (now, counts)
         else:
             self.remote_counts.pop(node, None)
 
-    def suspects(self, servers: Collection[str], now: float) -> set[str]:
+    def ejected(self, servers: Collection[str], now: float) -> set[str]:
         """Return those of `servers` that are ejected at `now`."""
         totals, nodes = self._totals(servers, now)
         total = sum(totals.values())
@@ -120,7 +120,7 @@
                 continue
             totals.update({s: n for s, n in counts.items() if s in known})
             nodes.update(known & counts.keys())
-        own_counts = {s: n for s, n in self.tell(now).items() if s in known}
+        own_counts = {s: n for s, n in self.own_counts(now).items() if s in known}
         totals.update(own_counts)
         nodes.update(own_counts.keys())
         return totals, nodes
--- a/packages/endive_core/src/endive_core/failures.py
+++ b/packages/endive_core/src/endive_core/failures.py
@@ -20,7 +20,7 @@
 are reported one by one."""
 
 
-class Failures:
+class FailureHandler:
     """Decides after each failed attempt what becomes of the server and the request.
 
     A single server, a zone, or every server may fail. The server may be paused, its
@@ -64,7 +64,7 @@
             )
         return self.budgets[deployment]
 
-    def suspect(self, ticket: Ticket, crashed: str, now: float) -> None:
+    def attribute_crash(self, ticket: Ticket, crashed: str, now: float) -> None:
         """Count a server's crash against `ticket` if it may have caused the crash.
 
         Parameters
@@ -96,7 +96,9 @@
                 del self.crash_suspects[next(iter(self.crash_suspects))]
         return ticket in self.crash_suspects[crashed]
 
-    def blame(self, server: ServerLoad, reason: RetryReason, now: float) -> None:
+    def penalise_server(
+        self, server: ServerLoad, reason: RetryReason, now: float
+    ) -> None:
         """Pause a server that failed, or treat one that was busy as full."""
         if reason is RetryReason.SERVER_BUSY:
             self.servers.mark_full(server)
@@ -107,14 +109,14 @@
             self.paused.append(server)
             self.paused.sort(key=lambda paused: paused.view.failed_until)
 
-    def resume(self, now: float) -> None:
+    def resume_paused(self, now: float) -> None:
         """Resume servers whose pause is over."""
         while self.paused and self.paused[0].view.failed_until <= now:
             server = self.paused.pop(0)
             server.paused = False
             self.servers.refresh(server)
 
-    def verdict(
+    def decide_retry(
         self,
         ticket: Ticket,
         now: float,
@@ -143,24 +145,24 @@
     ) -> Refusal | None:
         call = ticket.call
         if self.crashes.is_poison(call.fingerprint, now):
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
             )
         if call.non_idempotent and started:
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.OUTCOME_UNKNOWN,
                 "the server may have run the request; it is not sent again",
             )
         if ticket.attempt >= max_attempts or self.servers.all_tried(ticket.avoid):
             kind = ErrorKind.BACKEND_FAILED if started else ErrorKind.NO_SERVER
-            return Refusal.because(kind, "all attempts failed")
+            return Refusal.from_kind(kind, "all attempts failed")
         # The budget limits repeated work; an attempt that was not started costs little.
         # If it counted, the streams broken by a zone's dead servers would spend the
         # budget on attempts that only fail to connect.
         if started and not self.budget(call.deployment).spend(
-            in_flight=self.servers.own_total
+            in_flight=self.servers.own_in_flight
         ):
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.RETRY_BUDGET_SPENT,
                 "retry budget spent: too many calls are retried",
             )
--- a/packages/endive_core/src/endive_core/first_tokens.py
+++ b/packages/endive_core/src/endive_core/first_tokens.py
@@ -6,9 +6,9 @@
 """
 
 from endive_core.calls import Ticket
+from endive_core.estimators import ServiceRate
 from endive_core.outliers import OutlierDetector
 from endive_core.prefilling import PrefillRate
-from endive_core.rates import ServiceRate
 from endive_core.servers import ServerLoad, ServerSet
 
 RATE_UPDATE_INTERVAL_S = 1.0
@@ -16,7 +16,7 @@
 some twenty seconds."""
 
 
-class FirstTokens:
+class FirstTokenLearner:
     """Passes times to first token to the estimators, and applies the prefill rate.
 
     Attributes
@@ -38,7 +38,7 @@
         self.prefill = prefill
         self.next_rate_update_at = 0.0
 
-    def take_rate(self, now: float) -> None:
+    def update_prefill_rates(self, now: float) -> None:
         """Set the learned prefill rate on all servers, once per interval."""
         if self.prefill is None or now < self.next_rate_update_at:
             return
--- a/packages/endive_core/src/endive_core/load_sizing.py
+++ b/packages/endive_core/src/endive_core/load_sizing.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-USED_PART = 0.85
+TARGET_UTILISATION = 0.85
 """Part of a server's time that the recent peak load may use. Above it, prompts queue at
 the servers and first tokens are late."""
 
--- a/packages/endive_core/src/endive_core/outliers.py
+++ b/packages/endive_core/src/endive_core/outliers.py
@@ -8,9 +8,9 @@
 
 from statistics import median
 
+from endive_core.ejection import ClusterEjection
 from endive_core.policy import Policy
 from endive_core.servers import ServerLoad, ServerSet
-from endive_core.suspicions import Suspicions
 
 MIN_SAMPLES = 5
 """Latencies needed before a server can be marked; one slow call proves nothing."""
@@ -58,8 +58,8 @@
         self.servers = servers
         self.next_comparison_at = 0.0
         self.slow: list[ServerLoad] = []
-        self.suspicions: Suspicions | None = None
-        self.suspects: set[str] = set()
+        self.ejection: ClusterEjection | None = None
+        self.ejected: set[str] = set()
 
     def observe(self, server: ServerLoad, *, seconds: float, expected_s: float) -> None:
         """Record one latency of `server`, with the one that was expected, seconds."""
@@ -80,7 +80,7 @@
         """
         self.observe(server, seconds=FAILURE_LATENCY_RATIO, expected_s=1.0)
 
-    def compare(self, now: float) -> None:
+    def update_outliers(self, now: float) -> None:
         """Update each server's slowness and mark the slow ones, once per interval.
 
         It takes one pass over all servers. Only a limited share of them is marked: if
@@ -103,18 +103,18 @@
         worst = sorted(judged, key=lambda s: s.slowness, reverse=True)
         for position, server in enumerate(worst):
             slow = position < max_slow and server.slowness >= self.policy.slow_ratio
-            self._mark(server, slow or server.id in self.suspects, now)
+            self._mark(server, slow or server.id in self.ejected, now)
 
     def _update_suspects(self, now: float) -> None:
         """Mark the servers that are ejected because of all nodes' failures."""
-        if self.suspicions is None:
+        if self.ejection is None:
             return
-        before = self.suspects
-        self.suspects = self.suspicions.suspects(self.servers.servers.keys(), now)
-        for server_id in before ^ self.suspects:
+        before = self.ejected
+        self.ejected = self.ejection.ejected(self.servers.servers.keys(), now)
+        for server_id in before ^ self.ejected:
             server = self.servers.servers.get(server_id)
             if server is not None:
-                self._mark(server, server_id in self.suspects, now)
+                self._mark(server, server_id in self.ejected, now)
 
     def _mark(self, server: ServerLoad, slow: bool, now: float) -> None:
         if slow == server.slow:
@@ -132,7 +132,7 @@
         for server in self.slow:
             if self.servers.servers.get(server.id) is not server:
                 continue
-            if server.id in self.suspects:
+            if server.id in self.ejected:
                 continue
             if not server.view.leaving and now >= server.next_probe_at:
                 server.next_probe_at = now + self.policy.probe_every_s
--- a/packages/endive_core/src/endive_core/prefilling.py
+++ b/packages/endive_core/src/endive_core/prefilling.py
@@ -57,7 +57,9 @@
     def learn(self, tokens: float, seconds: float) -> None:
         """Add the time to first token of a prompt with `tokens` to compute."""
         if self.samples:
-            expected = self.mean_s + (tokens - self.mean_tokens) * self.token_s
+            expected = (
+                self.mean_s + (tokens - self.mean_tokens) * self.seconds_per_token
+            )
             bound = max(MIN_BOUND_S, MAX_TIMES_EXPECTED * expected)
             seconds = min(seconds, bound)
         self.samples = min(self.samples + 1, 1 / SMOOTHING)
@@ -72,7 +74,7 @@
         )
 
     @property
-    def token_s(self) -> float:
+    def seconds_per_token(self) -> float:
         """Seconds by which each further token to compute delays the first token."""
         prior = PRIOR_SAMPLES * PRIOR_DEVIATION_TOKENS**2
         learned = self.samples * self.covariance + prior * self.prior_s
@@ -85,4 +87,4 @@
     @property
     def tokens_per_s(self) -> float:
         """Estimated prefill rate, tokens per second."""
-        return 1 / self.token_s
+        return 1 / self.seconds_per_token
--- a/packages/endive_core/src/endive_core/prefixes.py
+++ b/packages/endive_core/src/endive_core/prefixes.py
@@ -127,7 +127,7 @@
                 self.old.pop(block, None)
                 self.young[block] = tuple(h for h in holders if h != server)
 
-    def event(
+    def apply_event(
         self, server: str, seq: int, *, stored: bool, blocks: Sequence[int]
     ) -> None:
         """Apply a cache event of `server`; a repeated event has no effect."""
--- a/packages/endive_core/src/endive_core/routing.py
+++ b/packages/endive_core/src/endive_core/routing.py
@@ -62,7 +62,7 @@
     pause_s: float = 1.0
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a request that may have run may be sent again."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
@@ -126,7 +126,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrganisationTerms:
+class OrganisationLimits:
     """Priority and rate limit of one organisation.
 
     Attributes
@@ -184,7 +184,7 @@
     version: int
     routes: tuple[Route, ...]
     services: Mapping[str, Service]
-    organisations: Mapping[str, OrganisationTerms] | None
+    organisations: Mapping[str, OrganisationLimits] | None
     keys: Mapping[str, str]
     limits: CallerLimits = CallerLimits()
     by_host: dict[str, dict[str, Route]] = field(default_factory=dict)
--- a/packages/endive_core/src/endive_core/servers.py
+++ b/packages/endive_core/src/endive_core/servers.py
@@ -121,7 +121,7 @@
         """Return the free slots beyond those that the nodes divide among them."""
         return self.free - self.net_change - self.divided_slots - self.reserved[tier]
 
-    def note(self, sign: int, now: float) -> None:
+    def adjust_in_flight(self, sign: int, now: float) -> None:
         """Count a request of this node that was sent (+1) or ended (-1) at `now`."""
         self.recent_changes.append((now, sign))
         self.net_change += sign
@@ -172,10 +172,10 @@
         self.divided_share = divided_share
         self.giving_way = giving_way
         self.servers: dict[str, ServerLoad] = {}
-        self.open = {tier: ServerIndex() for tier in Tier}
-        self.taking = ServerIndex()
+        self.available = {tier: ServerIndex() for tier in Tier}
+        self.accepting = ServerIndex()
         self.nodes = 1
-        self.own_total = 0
+        self.own_in_flight = 0
         self.net_change_total = 0
         self.reported_total = 0
         self.slots_total = 0
@@ -208,10 +208,10 @@
         view = server.view
         self.servers.pop(view.id)
         self.reported_total -= view.reported_running + view.reported_waiting
-        self.own_total -= view.in_flight
+        self.own_in_flight -= view.in_flight
         self.net_change_total -= server.net_change
         self.yielding_total -= server.yielding_tokens
-        for members in (*self.open.values(), self.taking):
+        for members in (*self.available.values(), self.accepting):
             members.discard(server)
 
     @property
@@ -223,14 +223,14 @@
         the share follows this node's part of the reported load. Requests sent since
         the reports are left out on both sides, since those of other nodes are unknown.
         """
-        own = max(0, self.own_total - self.net_change_total)
+        own = max(0, self.own_in_flight - self.net_change_total)
         total = max(own, self.reported_total)
         return min(1.0, (own + 1) / (total + self.nodes))
 
     @property
     def mean_utilisation(self) -> float:
         """Load over slots, of all servers together."""
-        total = max(self.own_total, self.reported_total)
+        total = max(self.own_in_flight, self.reported_total)
         return total / self.slots_total if self.slots_total else 0.0
 
     def report(
@@ -280,14 +280,14 @@
         view.reported_waiting = waiting + max(0, server.free - server.net_change)
         self.refresh(server)
 
-    def note(self, server: ServerLoad, sign: int, now: float) -> None:
+    def adjust_in_flight(self, server: ServerLoad, sign: int, now: float) -> None:
         """Count a request of this node that was sent (+1) or ended (-1)."""
-        server.note(sign, now)
-        self.own_total += sign
+        server.adjust_in_flight(sign, now)
+        self.own_in_flight += sign
         self.net_change_total += sign
         self.refresh(server)
 
-    def note_prompt(
+    def adjust_prefill_backlog(
         self, server: ServerLoad, sign: int, tokens: float, *, yields: bool
     ) -> None:
         """Count the tokens of a prompt that was sent (+1), or started or ended (-1)."""
@@ -297,7 +297,7 @@
         else:
             server.starting_tokens += sign * tokens
 
-    def yielding_at(self, server: ServerLoad) -> float:
+    def yielding_tokens_at(self, server: ServerLoad) -> float:
         """Return the estimated yielding tokens of all nodes at `server`.
 
         Nodes do not exchange these. The total of the other nodes is estimated from
@@ -306,7 +306,7 @@
         nothing about those of the others there.
         """
         others = self.yielding_total * (1 / self.share - 1)
-        return server.yielding_tokens + others / max(1, len(self.taking))
+        return server.yielding_tokens + others / max(1, len(self.accepting))
 
     def has_room(self, server: ServerLoad, tier: Tier) -> bool:
         """Return whether this node may send a call of `tier` to `server` now."""
@@ -341,13 +341,13 @@
         has slots after each pause.
         """
         server.failures += 1
-        if server.paused or (len(self.taking) == 1 and not server.view.leaving):
+        if server.paused or (len(self.accepting) == 1 and not server.view.leaving):
             return False
         server.paused = True
         self.refresh(server)
         return True
 
-    def answered(self, server: ServerLoad) -> None:
+    def record_success(self, server: ServerLoad) -> None:
         """Reset the consecutive failures of a server that answered a request."""
         if server.failures:
             server.failures = 0
@@ -355,9 +355,9 @@
 
     def all_tried(self, tried: set[str]) -> bool:
         """Return whether every server that accepts work is among `tried`."""
-        if len(tried) < len(self.taking):
+        if len(tried) < len(self.accepting):
             return False
-        return all(server.id in tried for server in self.taking.items)
+        return all(server.id in tried for server in self.accepting.items)
 
     def refresh(self, server: ServerLoad) -> None:
         """Add `server` to the indexes of servers with room, or remove it from them.
@@ -367,14 +367,14 @@
         """
         if self.servers.get(server.id) is not server:
             return
-        taking = not (server.view.leaving or server.paused)
-        if taking:
-            self.taking.add(server)
+        accepting = not (server.view.leaving or server.paused)
+        if accepting:
+            self.accepting.add(server)
         else:
-            self.taking.discard(server)
+            self.accepting.discard(server)
         probing = server.failures > 0 and server.view.in_flight > 0
-        usable = taking and not server.slow and not probing
-        for tier, members in self.open.items():
+        usable = accepting and not server.slow and not probing
+        for tier, members in self.available.items():
             room = (
                 server.remaining_grant(tier) > 0 or server.uncontended_slots(tier) > 0
             )
--- a/packages/endive_core/tests/test_clocks.py
+++ b/packages/endive_core/tests/test_clocks.py
@@ -1,4 +1,4 @@
-from endive_core.clocks import MAX_READING_AGE_S, TrueTime
+from endive_core.clocks import MAX_READING_AGE_S, ClusterClock
 
 
 class Clocks:
@@ -7,7 +7,7 @@
         self.wall_time = 1_000_000.0
 
     def made(self):
-        return TrueTime(lambda: self.monotonic, lambda: self.wall_time)
+        return ClusterClock(lambda: self.monotonic, lambda: self.wall_time)
 
 
 def test_a_clock_that_jumped_is_outvoted():
@@ -16,7 +16,7 @@
     clocks = Clocks()
     made = clocks.made()
     for node in "abc":
-        made.hear(node, 1_000_000.1)
+        made.receive(node, 1_000_000.1)
     clocks.wall_time += 2400.0
     assert abs(made.now() - 1_000_000.1) < 0.2
 
@@ -27,15 +27,15 @@
     for node, wall_time in zip(
         "abc", (1_000_000.0, 1_002_400.0, 1_000_000.2), strict=True
     ):
-        made.hear(node, wall_time)
+        made.receive(node, wall_time)
     assert abs(made.now() - 1_000_000.1) < 0.2
 
 
 def test_the_clock_of_a_node_that_is_gone_does_not_count():
     clocks = Clocks()
     made = clocks.made()
-    made.hear("a", 5.0)
-    made.hear("b", 5.0)
+    made.receive("a", 5.0)
+    made.receive("b", 5.0)
     clocks.monotonic += MAX_READING_AGE_S + 1
     clocks.wall_time += MAX_READING_AGE_S + 1
     assert made.now() == clocks.wall_time
--- a/packages/endive_core/tests/test_suspicions.py
+++ b/packages/endive_core/tests/test_ejection.py
@@ -1,7 +1,7 @@
 from random import Random
 
 import pytest
-from endive_core.suspicions import (
+from endive_core.ejection import (
     BASE_EJECTION_S,
     FAILURE_RATIO,
     MAX_EJECTED_SHARE,
@@ -9,7 +9,7 @@
     MIN_FAILURES,
     MIN_SERVERS,
     WINDOW_S,
-    Suspicions,
+    ClusterEjection,
 )
 
 SERVERS = [f"s{number}" for number in range(45)]
@@ -32,7 +32,7 @@
 def failed_share(nodes, *, gossip, seconds=8.0, each_s=0.001):
     """Simulate `nodes` with four failing servers; return the share of failures."""
     random = Random(7)
-    trackers = [Suspicions() for _ in range(nodes)]
+    trackers = [ClusterEjection() for _ in range(nodes)]
     suspects = [set() for _ in trackers]
     requests = failures = 0
     for tick in range(int(seconds / each_s)):
@@ -40,14 +40,14 @@
         number = random.randrange(nodes)
         if gossip and tick % int(GOSSIP_INTERVAL_S / nodes / each_s + 1) == 0:
             sender = (tick // int(GOSSIP_INTERVAL_S / nodes / each_s + 1)) % nodes
-            counts = trackers[sender].tell(now)
+            counts = trackers[sender].own_counts(now)
             for other in range(nodes):
                 if other != sender:
-                    trackers[other].hear(str(sender), counts, now)
+                    trackers[other].receive(str(sender), counts, now)
         if tick % 50 == 0:
-            suspects[number] = trackers[number].suspects(SERVERS, now)
+            suspects[number] = trackers[number].ejected(SERVERS, now)
             for other in range(nodes):
-                suspects[other] = trackers[other].suspects(SERVERS, now)
+                suspects[other] = trackers[other].ejected(SERVERS, now)
         usable = [s for s in SERVERS if s not in suspects[number]]
         server = random.choice(usable)
         requests += 1
@@ -66,62 +66,62 @@
 
 
 def test_failures_at_a_single_node_eject_no_server():
-    made = Suspicions()
+    made = ClusterEjection()
     failed(made, "s1", 50)
-    assert made.suspects(SERVERS, 10.1) == set()
+    assert made.ejected(SERVERS, 10.1) == set()
 
 
 def test_where_all_servers_fail_alike_none_is_ejected():
     """Otherwise a fault that all servers share, such as invalid requests, would eject
     one server after the other and leave the load to a few."""
-    made = Suspicions()
-    made.hear("b", dict.fromkeys(SERVERS, MIN_FAILURES), 10.0)
-    made.hear("c", dict.fromkeys(SERVERS, MIN_FAILURES), 10.0)
-    made.hear("d", {"s1": int(FAILURE_RATIO)}, 10.0)
-    assert made.suspects(SERVERS, 10.1) == set()
+    made = ClusterEjection()
+    made.receive("b", dict.fromkeys(SERVERS, MIN_FAILURES), 10.0)
+    made.receive("c", dict.fromkeys(SERVERS, MIN_FAILURES), 10.0)
+    made.receive("d", {"s1": int(FAILURE_RATIO)}, 10.0)
+    assert made.ejected(SERVERS, 10.1) == set()
 
 
 def test_at_most_a_part_of_the_servers_is_ejected():
-    made = Suspicions()
-    made.hear("b", dict.fromkeys(SERVERS[:8], 1000), 10.0)
-    made.hear("c", dict.fromkeys(SERVERS[:8], 1000), 10.0)
-    made.hear("d", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
-    made.hear("e", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
-    assert len(made.suspects(SERVERS, 10.1)) <= MAX_EJECTED_SHARE * len(SERVERS)
+    made = ClusterEjection()
+    made.receive("b", dict.fromkeys(SERVERS[:8], 1000), 10.0)
+    made.receive("c", dict.fromkeys(SERVERS[:8], 1000), 10.0)
+    made.receive("d", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
+    made.receive("e", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
+    assert len(made.ejected(SERVERS, 10.1)) <= MAX_EJECTED_SHARE * len(SERVERS)
 
 
 def test_an_ejected_server_is_tried_again_and_ejected_for_longer_if_it_still_fails():
-    made = Suspicions()
-    made.hear("b", {"s1": 9}, 10.0)
+    made = ClusterEjection()
+    made.receive("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3)
-    assert made.suspects(SERVERS, 10.1) == {"s1"}
+    assert made.ejected(SERVERS, 10.1) == {"s1"}
     resumed_at = 10.1 + BASE_EJECTION_S + 0.1
-    assert made.suspects(SERVERS, resumed_at) == set()
-    made.hear("b", {"s1": 9}, resumed_at)
+    assert made.ejected(SERVERS, resumed_at) == set()
+    made.receive("b", {"s1": 9}, resumed_at)
     failed(made, "s1", 3, resumed_at)
-    assert made.suspects(SERVERS, resumed_at + 0.1) == {"s1"}
-    assert made.suspects(SERVERS, resumed_at + BASE_EJECTION_S + 1.0) == {"s1"}
-    assert made.suspects(SERVERS, resumed_at + 2 * BASE_EJECTION_S + 1.0) == set()
+    assert made.ejected(SERVERS, resumed_at + 0.1) == {"s1"}
+    assert made.ejected(SERVERS, resumed_at + BASE_EJECTION_S + 1.0) == {"s1"}
+    assert made.ejected(SERVERS, resumed_at + 2 * BASE_EJECTION_S + 1.0) == set()
 
 
 def test_old_counts_of_another_node_expire():
-    made = Suspicions()
-    made.hear("b", {"s1": 9}, 10.0)
+    made = ClusterEjection()
+    made.receive("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3, 10.0 + WINDOW_S)
-    assert made.suspects(SERVERS, 10.1 + WINDOW_S) == set()
+    assert made.ejected(SERVERS, 10.1 + WINDOW_S) == set()
 
 
 def test_the_exchanged_counts_are_bounded():
-    made = Suspicions()
+    made = ClusterEjection()
     for server in SERVERS:
         made.failed(server, 1.0)
-    assert len(made.tell(1.0)) == MAX_REPORTED_SERVERS
+    assert len(made.own_counts(1.0)) == MAX_REPORTED_SERVERS
 
 
 def failed_share_of_few(seed, failing):
     """Simulate many nodes with three servers; return the failed share of requests."""
     random = Random(seed)
-    trackers = [Suspicions() for _ in range(MANY_NODES)]
+    trackers = [ClusterEjection() for _ in range(MANY_NODES)]
     next_gossip_at = [random.random() * MANY_NODES_GOSSIP_INTERVAL_S for _ in trackers]
     requests = failures = 0
     while (now := requests / REQUESTS_PER_S) < DURATION_S:
@@ -130,7 +130,7 @@
                 next_gossip_at[number] += MANY_NODES_GOSSIP_INTERVAL_S
                 gossip_counts(trackers, number, now)
         node = random.choice(trackers)
-        suspects = node.suspects(FEW_SERVERS, now)
+        suspects = node.ejected(FEW_SERVERS, now)
         server = random.choice([s for s in FEW_SERVERS if s not in suspects])
         requests += 1
         if server in failing and random.random() < FAILING_SHARE:
@@ -140,10 +140,10 @@
 
 
 def gossip_counts(trackers, number, now):
-    counts = trackers[number].tell(now)
+    counts = trackers[number].own_counts(now)
     for other, node in enumerate(trackers):
         if other != number:
-            node.hear(str(number), counts, now)
+            node.receive(str(number), counts, now)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -157,10 +157,10 @@
 def test_one_of_two_servers_is_not_ejected():
     """With two servers there is no majority to compare with."""
     servers = FEW_SERVERS[: MIN_SERVERS - 1]
-    made = Suspicions()
+    made = ClusterEjection()
     failed(made, servers[0], MIN_FAILURES, now=1.0)
-    made.hear("other", {servers[0]: MIN_FAILURES}, 1.0)
-    assert made.suspects(servers, 1.0) == set()
+    made.receive("other", {servers[0]: MIN_FAILURES}, 1.0)
+    assert made.ejected(servers, 1.0) == set()
 
 
 def test_two_failing_servers_of_three_keep_their_work():
