--- a/packages/endive_core/src/endive_core/capacity.py
+++ b/packages/endive_core/src/endive_core/capacity.py
@@ -197,8 +197,8 @@
     minimum = _shortfall(view, expected.values())
     maximum = max(minimum, _shortfall(view, ready.values()))
     while sum(placed.values()) > maximum:
-        dearest = [zone for zone in zones if placed[zone]][-1]
-        placed[dearest] -= 1
+        most_expensive = [zone for zone in zones if placed[zone]][-1]
+        placed[most_expensive] -= 1
     while sum(placed.values()) < minimum:
         max_per_zone = view.scaling.max_servers
         open_zones = [z for z in zones if placed[z] + expected[z] < max_per_zone]
--- a/packages/endive_core/src/endive_core/ejection.py
+++ b/packages/endive_core/src/endive_core/ejection.py
@@ -137,5 +137,8 @@
 
 
 def _is_over(ejection: Ejection, now: float) -> bool:
-    """Return whether a server has stayed well for as long as it was ejected."""
+    """Return whether an ejection has been over for so long that it no longer counts.
+
+    The next ejection of the server then has the base duration.
+    """
     return now > ejection.until + max(WINDOW_S, ejection.duration_s)
--- a/packages/endive_core/src/endive_core/exceptions.py
+++ b/packages/endive_core/src/endive_core/exceptions.py
@@ -1,8 +1,8 @@
 """The closed list of error kinds, their responses, and the exceptions.
 
 Every error that a caller or an operator can get has an :class:`ErrorKind`. The table
-:data:`ERROR_RESPONSES` defines for each kind the HTTP status, whether the request was executed,
-and after what time a retry is worthwhile.
+:data:`ERROR_RESPONSES` defines for each kind the HTTP status, whether the request was
+executed, and after what time a retry is worthwhile.
 """
 
 from dataclasses import dataclass
@@ -182,11 +182,11 @@
         self.message = message
         self.details = details or {}
         self.request_id = ""
-        answer = ERROR_RESPONSES[kind]
-        self.status = answer.status
-        self.executed = answer.executed
+        response = ERROR_RESPONSES[kind]
+        self.status = response.status
+        self.executed = response.executed
         self.retry_after_s = (
-            answer.retry_after_s if retry_after_s is None else retry_after_s
+            response.retry_after_s if retry_after_s is None else retry_after_s
         )
 
     def to_body(self, request_id: str = "") -> dict:
--- a/packages/endive_core/src/endive_core/outliers.py
+++ b/packages/endive_core/src/endive_core/outliers.py
@@ -89,7 +89,7 @@
         if now < self.next_comparison_at:
             return
         self.next_comparison_at = now + self.policy.compare_every_s
-        self._update_suspects(now)
+        self._update_ejected(now)
         servers = self.servers.servers.values()
         peers = [s for s in servers if s.samples >= MIN_PEER_SAMPLES]
         if len(peers) < 3:
@@ -105,7 +105,7 @@
             slow = position < max_slow and server.slowness >= self.policy.slow_ratio
             self._mark(server, slow or server.id in self.ejected, now)
 
-    def _update_suspects(self, now: float) -> None:
+    def _update_ejected(self, now: float) -> None:
         """Mark the servers that are ejected because of all nodes' failures."""
         if self.ejection is None:
             return
--- a/packages/endive_core/src/endive_core/placement.py
+++ b/packages/endive_core/src/endive_core/placement.py
@@ -104,8 +104,8 @@
         of prefill work, which delays the next caller's first token.
         """
         rate = server.view.prefill_tokens_per_s * self.servers.share
-        begins = max(now, server.prefill_paced_until)
-        server.prefill_paced_until = begins + tokens / rate
+        starts_at = max(now, server.prefill_paced_until)
+        server.prefill_paced_until = starts_at + tokens / rate
 
     def _candidates(
         self, ticket: Ticket, names: list[str], tier: Tier
@@ -229,17 +229,17 @@
             return ON_TIME
         rate = server.view.prefill_tokens_per_s
         wait_s = self.wait_s(server, now)
-        begins_s = wait_s + ticket.uncached_tokens / rate
-        yields = self._should_yield(ticket, wait_s, begins_s, now)
+        starts_s = wait_s + ticket.uncached_tokens / rate
+        yields = self._should_yield(ticket, wait_s, starts_s, now)
         deadline = ticket.call.deadline
         if deadline is None:
             return StartPrediction(0.0, yields)
         if yields:
-            begins_s += self.servers.yielding_tokens_at(server) / rate
-        return StartPrediction(max(0.0, now + begins_s - deadline), yields)
+            starts_s += self.servers.yielding_tokens_at(server) / rate
+        return StartPrediction(max(0.0, now + starts_s - deadline), yields)
 
     def _should_yield(
-        self, ticket: Ticket, wait_s: float, begins_s: float, now: float
+        self, ticket: Ticket, wait_s: float, starts_s: float, now: float
     ) -> bool:
         """Return whether a call is queued behind all others at its server.
 
@@ -258,7 +258,7 @@
         target_s = ticket.call.target_s
         if wait_s <= self.policy.yield_wait_part * target_s:
             return False
-        return now + begins_s > ticket.accepted_at + target_s
+        return now + starts_s > ticket.accepted_at + target_s
 
 
 def _uncached(call: Call, cached_blocks: int) -> float:
--- a/packages/endive_core/src/endive_core/servers.py
+++ b/packages/endive_core/src/endive_core/servers.py
@@ -151,11 +151,11 @@
 
     Attributes
     ----------
-    open : dict of Tier to ServerIndex
+    available : dict of Tier to ServerIndex
         Servers with room, for each tier.
-    taking : ServerIndex
+    accepting : ServerIndex
         Servers that accept work: neither leaving nor paused.
-    own_total : int
+    own_in_flight : int
         Requests of this node in flight.
     """
 
--- a/packages/endive_core/src/endive_core/stream_moves.py
+++ b/packages/endive_core/src/endive_core/stream_moves.py
@@ -1,8 +1,8 @@
-"""Plans the migration of streams from a server under a reclaim notice.
+"""Plans how streams move from a server under a reclaim notice to other servers.
 
 A whole zone is reclaimed with seconds of notice, and a second zone often follows. A
-stream that has not been migrated when its server stops must be computed again from the
-prompt on. So the streams that cost most to recompute are migrated first, by KV cache
+stream that has not been moved when its server stops must be computed again from the
+prompt on. So the streams that cost most to recompute are moved first, by KV cache
 export as long as the time allows, and those that end in time are left where they are.
 """
 
@@ -27,7 +27,7 @@
 
     Attributes
     ----------
-    starts_at_s : float
+    start_delay_s : float
         Time from now until its export starts, seconds.
     """
 
--- a/packages/endive_core/tests/test_ejection.py
+++ b/packages/endive_core/tests/test_ejection.py
@@ -33,7 +33,7 @@
     """Simulate `nodes` with four failing servers; return the share of failures."""
     random = Random(7)
     trackers = [ClusterEjection() for _ in range(nodes)]
-    suspects = [set() for _ in trackers]
+    ejected = [set() for _ in trackers]
     requests = failures = 0
     for tick in range(int(seconds / each_s)):
         now = tick * each_s
@@ -45,10 +45,10 @@
                 if other != sender:
                     trackers[other].receive(str(sender), counts, now)
         if tick % 50 == 0:
-            suspects[number] = trackers[number].ejected(SERVERS, now)
+            ejected[number] = trackers[number].ejected(SERVERS, now)
             for other in range(nodes):
-                suspects[other] = trackers[other].ejected(SERVERS, now)
-        usable = [s for s in SERVERS if s not in suspects[number]]
+                ejected[other] = trackers[other].ejected(SERVERS, now)
+        usable = [s for s in SERVERS if s not in ejected[number]]
         server = random.choice(usable)
         requests += 1
         if server in FAILING_SERVERS:
@@ -130,8 +130,8 @@
                 next_gossip_at[number] += MANY_NODES_GOSSIP_INTERVAL_S
                 gossip_counts(trackers, number, now)
         node = random.choice(trackers)
-        suspects = node.ejected(FEW_SERVERS, now)
-        server = random.choice([s for s in FEW_SERVERS if s not in suspects])
+        ejected = node.ejected(FEW_SERVERS, now)
+        server = random.choice([s for s in FEW_SERVERS if s not in ejected])
         requests += 1
         if server in failing and random.random() < FAILING_SHARE:
             node.failed(server, now)
--- a/packages/endive_core/tests/test_routing.py
+++ b/packages/endive_core/tests/test_routing.py
@@ -42,9 +42,9 @@
 
 
 def test_a_key_is_needed_unless_the_route_is_public():
-    terms = {"o": OrganisationLimits("o")}
+    limits = {"o": OrganisationLimits("o")}
     closed, public = route("/a/"), route("/b/", public=True)
-    made = table(closed, public, keys={"k": "o"}, organisations=terms)
+    made = table(closed, public, keys={"k": "o"}, organisations=limits)
     assert made.allows(closed, "k")
     assert not made.allows(closed, "")
     assert not made.allows(closed, "other")
--- a/packages/endive_core/tests/test_stream_moves.py
+++ b/packages/endive_core/tests/test_stream_moves.py
@@ -21,20 +21,20 @@
         export_tokens_per_s=1000.0,
         margin_s=1.0,
     )
-    return {shift.ticket: shift for shift in moves}, moves
+    return {move.ticket: move for move in moves}, moves
 
 
 def test_most_expensive_streams_are_exported_first_and_the_rest_resume():
     """A server is reclaimed in 3 s, and 2 s of exports move 2,000 tokens. The streams
     that do not fit are computed again, so these must be the cheapest."""
-    cheapest = stream(0, prompt_tokens=300)
-    dearest = stream(1, prompt_tokens=1500)
+    least_expensive = stream(0, prompt_tokens=300)
+    most_expensive = stream(1, prompt_tokens=1500)
     middle = stream(2, prompt_tokens=400)
-    planned, moves = plan([cheapest, dearest, middle])
-    assert [shift.ticket for shift in moves] == [dearest, middle, cheapest]
-    assert planned[dearest].start_delay_s == 0
+    planned, moves = plan([least_expensive, most_expensive, middle])
+    assert [move.ticket for move in moves] == [most_expensive, middle, least_expensive]
+    assert planned[most_expensive].start_delay_s == 0
     assert planned[middle].start_delay_s > 1
-    assert planned[cheapest].method is MoveMethod.RESUME
+    assert planned[least_expensive].method is MoveMethod.RESUME
 
 
 def test_stream_that_ends_in_time_is_left_alone():
