--- a/packages/endive_core/src/endive_core/ejection.py
+++ b/packages/endive_core/src/endive_core/ejection.py
@@ -120,9 +120,9 @@
                 continue
             totals.update({s: n for s, n in counts.items() if s in known})
             nodes.update(known & counts.keys())
-        own_counts = {s: n for s, n in self.own_counts(now).items() if s in known}
-        totals.update(own_counts)
-        nodes.update(own_counts.keys())
+        local_counts = {s: n for s, n in self.own_counts(now).items() if s in known}
+        totals.update(local_counts)
+        nodes.update(local_counts.keys())
         return totals, nodes
 
     def _eject(self, server: str, now: float) -> None:
