--- a/packages/endive_core/tests/test_exceptions.py
+++ b/packages/endive_core/tests/test_exceptions.py
@@ -6,7 +6,7 @@
 )
 
 
-def test_every_kind_has_an_answer():
+def test_every_kind_has_a_response():
     assert set(ERROR_RESPONSES) == set(ErrorKind)
 
 
