--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -8,7 +8,7 @@
 from endive_platform.configuration import decode_configuration
 from endive_platform.entries import decode_server
 from endive_platform.settings import (
-    SettingsChanges,
+    SettingsWatcher,
     read_settings,
     to_gateway_settings,
 )
@@ -61,14 +61,14 @@
     return json.dumps(values | options).encode()
 
 
-def test_a_configuration_is_decoded_whole():
+def test_all_fields_of_a_configuration_are_decoded():
     table = decode_configuration(document())
     found = table.match("a.example", "/a/b")
     assert (found.kind, found.timeout_s, found.resumable) == (RouteKind.STREAM, 3, True)
     assert found.choose(0.5) == "s"
     assert table.keys == {"k1": "o", "k2": "o"}
-    terms = table.organisations["o"]
-    assert (terms.rate, terms.burst, terms.counts_tokens) == (10, 20, True)
+    limits = table.organisations["o"]
+    assert (limits.rate, limits.burst, limits.counts_tokens) == (10, 20, True)
     service = table.services["s"]
     assert service.engine.tokens_per_event == 3
     assert service.scaling.zone_prices == {"a": 0.85}
@@ -79,7 +79,7 @@
     assert decode_configuration(document(tenants=None)).organisations is None
 
 
-def test_splits_and_unknown_kinds_are_understood():
+def test_splits_and_unknown_kinds_are_decoded():
     split = [{"service": "s", "weight": 90}, {"service": "t", "weight": 10}]
     routes = [route(traffic_split=split, service=None, kind="new")]
     (found,) = decode_configuration(document(routes=routes)).routes
@@ -91,7 +91,7 @@
     "value",
     [b"", b"{", b"[]", b"\xff\xfe", document(version="x"), document(routes=[{}])],
 )
-def test_a_configuration_that_can_not_be_read_is_refused(value):
+def test_an_undecodable_configuration_is_rejected(value):
     with pytest.raises(UndecodableError):
         decode_configuration(value)
 
@@ -110,7 +110,7 @@
     return json.dumps(values | options).encode()
 
 
-def test_an_entry_is_decoded_whole():
+def test_all_fields_of_an_entry_are_decoded():
     value = entry(spot=True, leaves_ms=2500, state="draining", born=1700000000000)
     found = decode_server("i-1", value)
     assert found.state is ServerState.LEAVING
@@ -161,7 +161,7 @@
     return values | options
 
 
-def test_settings_are_decoded_and_what_is_new_is_ignored(tmp_path):
+def test_settings_are_decoded_and_unknown_fields_are_ignored(tmp_path):
     path = tmp_path / "local.json"
     path.write_text(json.dumps(settings()))
     found = to_gateway_settings(read_settings(str(path)))
@@ -183,19 +183,19 @@
         read_settings(str(path))
 
 
-def test_no_settings_say_where_they_are_looked_for(monkeypatch):
+def test_missing_settings_name_the_environment_variable(monkeypatch):
     monkeypatch.delenv("ENDIVESTACK_BOOT", raising=False)
     with pytest.raises(SettingsError, match="ENDIVESTACK_BOOT"):
         read_settings()
 
 
-def test_a_settings_file_written_anew_is_noticed_once(tmp_path):
+def test_a_changed_settings_file_is_reported_once(tmp_path):
     path = tmp_path / "local.json"
     path.write_text("1")
-    changes = SettingsChanges(str(path))
-    assert not changes.changed()
+    watcher = SettingsWatcher(str(path))
+    assert not watcher.has_changed()
     path.write_text("22")
-    assert changes.changed()
-    assert not changes.changed()
+    assert watcher.has_changed()
+    assert not watcher.has_changed()
     path.unlink()
-    assert not changes.changed()
+    assert not watcher.has_changed()
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -9,7 +9,7 @@
     return [(n.replace("_", "-").encode(), v.encode()) for n, v in pairs.items()]
 
 
-def test_a_request_is_decoded_whole():
+def test_all_headers_of_a_request_are_decoded():
     metadata = decode_request(
         headers(
             Deadline_Ms="1500",
@@ -57,11 +57,11 @@
         decode_request(twice)
 
 
-def test_an_unreadable_prompt_list_only_costs_the_cache():
+def test_an_invalid_prompt_list_is_ignored():
     assert decode_request(headers(Prompt_Prefix="x:y")).parts == ()
 
 
-def test_what_callers_may_not_set_is_left_out_or_replaced():
+def test_reserved_headers_are_removed_or_replaced():
     sent = dict(
         encode_request(
             headers(
@@ -91,7 +91,7 @@
     }
 
 
-def test_a_resumed_run_names_its_place_and_copy():
+def test_a_resumed_stream_names_its_last_event_and_kv_source():
     forwarding = ForwardingMetadata(
         "i-1", "", 1.0, last_event_id="12", kv_source="1.2.3.4:5/h"
     )
@@ -101,7 +101,7 @@
     assert b"Tenant" not in sent
 
 
-def test_an_answer_is_decoded_whole():
+def test_all_headers_of_a_response_are_decoded():
     metadata = decode_response(
         headers(Response_Seal="3e", Not_Run="1", Server_Load="3,1,8", Instance_Id="i-1")
     )
@@ -113,5 +113,5 @@
 
 
 @pytest.mark.parametrize("load", ["", "3", "3,1", "a,b,c", "3,1,8,9", "-1,0,8"])
-def test_an_unreadable_load_is_none(load):
+def test_an_invalid_load_is_none(load):
     assert decode_response(headers(Server_Load=load)).running is None
--- a/tests/test_platform_layout.py
+++ b/tests/test_platform_layout.py
@@ -8,14 +8,14 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 
-WIRE_NAMES = (
+PLATFORM_NAMES = (
     "Deadline-Ms|Response-Seal|Expect-Instance|Not-Run|Prompt-Prefix|Token-Counts"
     "|Kv-From|Fencing-Token|Duty-Holder|Server-Load|Request-Priority|keyed\\.(op|servers)"
     "|log-(append|read|newest|join)|kv-move|ENDIVESTACK_BOOT"
 )
 
 
-def test_the_standard_module_keeps_its_name():
+def test_the_folder_does_not_shadow_the_standard_module():
     # A package at the root with the module's name would be found first by whatever
     # is started there, and libraries that ask for the machine would fail.
     assert platform.python_implementation()
@@ -23,13 +23,13 @@
     assert Path(platform.__file__).parent != ROOT / "platform"
 
 
-def test_no_name_of_the_wire_outside_the_adapter():
+def test_platform_names_appear_only_in_the_adapter():
     found = subprocess.run(
         [
             "git",
             "grep",
             "-nE",
-            WIRE_NAMES,
+            PLATFORM_NAMES,
             "--",
             "*.py",
             ":!platform",
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("package", ["endive_core", "endive_gateway", "endive_node"])
-def test_a_package_says_what_each_module_is_for(package):
+def test_a_package_lists_all_its_modules(package):
     """A newcomer finds the room for a change by the list at the package's door."""
     folder = ROOT / "packages" / package / "src" / package
     listed = re.findall(r"``(\w+)``", (folder / "__init__.py").read_text())
@@ -58,7 +58,7 @@
     assert sorted(listed) == sorted(modules)
 
 
-def test_no_modules_of_the_gateway_import_each_other_in_a_circle():
+def test_the_gateway_has_no_import_cycles():
     """Imports for types count too: who reads one module of a circle has to read all."""
     folder = ROOT / "packages" / "endive_gateway" / "src" / "endive_gateway"
     imports = {file.stem: set(imported_by(file)) for file in folder.glob("*.py")}
--- a/tests/test_platform_logs.py
+++ b/tests/test_platform_logs.py
@@ -9,13 +9,13 @@
 from gateway_builders import RunningGateway, make_route, make_table
 from server_builders import ScriptedServer
 
-PAGE = Path(__file__).resolve().parents[1] / "docs" / "OPERATIONS.md"
-LINE = re.compile(r"^event=(\S+) .*$", re.MULTILINE)
-KEY = re.compile(r"(\w+)=(?:\"[^\"]*\"|\S+)")
+OPERATIONS_PAGE = Path(__file__).resolve().parents[1] / "docs" / "OPERATIONS.md"
+LINE_PATTERN = re.compile(r"^event=(\S+) .*$", re.MULTILINE)
+KEY_PATTERN = re.compile(r"(\w+)=(?:\"[^\"]*\"|\S+)")
 
 
 @pytest.fixture
-def lines(monkeypatch):
+def log_lines(monkeypatch):
     """All log lines that are written during a test."""
     found = []
     monkeypatch.setattr(
@@ -24,29 +24,29 @@
     return found
 
 
-def shown():
+def documented_lines():
     """Return the page's log lines, by event and keys."""
-    text = PAGE.read_text().partition("# On the users' platform")[2]
+    text = OPERATIONS_PAGE.read_text().partition("# On the users' platform")[2]
     blocks = re.findall(r"```text\n(.*?)```", text, re.DOTALL)
     return {
-        (match[1], tuple(KEY.findall(match[0])))
+        (match[1], tuple(KEY_PATTERN.findall(match[0])))
         for block in blocks
-        for match in LINE.finditer(block)
+        for match in LINE_PATTERN.finditer(block)
     }
 
 
-def written(lines):
+def written_lines(log_lines):
     return {
-        (match[1], tuple(KEY.findall(line)))
-        for line in lines
-        if (match := LINE.match(line))
+        (match[1], tuple(KEY_PATTERN.findall(line)))
+        for line in log_lines
+        if (match := LINE_PATTERN.match(line))
     }
 
 
-def test_the_lines_on_the_operators_page_are_those_that_are_written(lines):
-    terms = OrganisationLimits("o", rate=0.01, burst=0.001)
+def test_the_documented_log_lines_are_those_written(log_lines):
+    limits = OrganisationLimits("o", rate=0.01, burst=0.001)
     limited = make_table(
-        make_route(public=False), organisations={"o": terms}, keys={"k": "o"}
+        make_route(public=False), organisations={"o": limits}, keys={"k": "o"}
     )
     with RunningGateway(ScriptedServer(), table=limited) as running:
         for _ in range(3):
@@ -55,22 +55,22 @@
         running.call()
     server = ScriptedServer()
 
-    def fall_over(sock, _seen):
+    def crash(sock, _seen):
         sock.close()
         server.stop()
         return False
 
-    server.script.append(fall_over)
+    server.script.append(crash)
     unsafe = make_table(make_route(kind=RouteKind.NON_IDEMPOTENT, max_attempts=1))
     with RunningGateway(server, table=unsafe) as running:
         running.context.placer.is_listening = lambda address: False
         running.call(method="POST", body=b"x")
     gevent.sleep(0)
-    assert shown() - written(lines) == set()
-    assert len(shown()) == 4
+    assert documented_lines() - written_lines(log_lines) == set()
+    assert len(documented_lines()) == 4
 
 
-def test_nobody_listens_is_told_from_silence():
+def test_a_closed_port_is_detected():
     server = ScriptedServer()
     assert is_listening(server.address)
     server.stop()
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -21,10 +21,10 @@
         return sock.getsockname()[1]
 
 
-def settings_file(tmp_path, monkeypatch, content):
+def write_settings_file(tmp_path, monkeypatch, content):
     path = tmp_path / "local.json"
     path.write_text(content)
-    monkeypatch.setenv(listening.PATH_VARIABLE, str(path))
+    monkeypatch.setenv(listening.SETTINGS_PATH_VARIABLE, str(path))
 
 
 def serve(context, listener):
@@ -33,7 +33,7 @@
     return found
 
 
-def know(context, server):
+def register_server(context, server):
     context.registry.put(make_entry(server.id, address=server.address))
     context.registry.is_loaded = True
     context.registry.notify_listeners()
@@ -43,22 +43,22 @@
     """All nodes lost power and start again. A caller connects before a node's libraries
     are loaded; refused, it would have used up its one further try."""
     address = f"127.0.0.1:{free_port()}"
-    settings_file(
+    write_settings_file(
         tmp_path, monkeypatch, json.dumps({"listen": {"front": address}, "x": 1})
     )
-    listener = listening.open_callers_port()
+    listener = listening.open_caller_socket()
     caller = Caller(listener.getsockname()[1])
     caller.send()
     server = ScriptedServer()
     context = make_context(make_table())
-    know(context, server)
+    register_server(context, server)
     serving = serve(context, listener)
     assert caller.receive().status == 200
     serving.stop_accepting()
     server.stop()
 
 
-def test_a_request_waits_until_a_node_that_just_started_is_informed():
+def test_a_request_waits_until_a_starting_node_knows_routes_and_servers():
     """A caller reaches a node 30 ms before the store's answers do. A refusal would use
     up its one further try."""
     server = ScriptedServer()
@@ -69,13 +69,13 @@
     gevent.sleep(0.05)
     context.configure(make_table(), b"", "test")
     gevent.sleep(0.05)
-    know(context, server)
+    register_server(context, server)
     assert caller.receive().status == 200
     serving.stop_accepting()
     server.stop()
 
 
-def test_a_node_without_a_store_refuses_at_once_after_its_start():
+def test_a_node_without_a_store_refuses_at_once_after_the_start_wait():
     """The store is away for long. Each caller that waited half a second for nothing
     would have gone to another node sooner."""
     context = make_context()
@@ -88,12 +88,12 @@
     serving.stop_accepting()
 
 
-def test_settings_that_can_not_be_used_open_nothing(tmp_path, monkeypatch):
+def test_unusable_settings_open_no_socket(tmp_path, monkeypatch):
     for content in ("", "[]", "{}", '{"listen": {"front": 5}}', '{"listen": []}'):
-        settings_file(tmp_path, monkeypatch, content)
-        assert listening.open_callers_port() is None
-    monkeypatch.delenv(listening.PATH_VARIABLE)
-    assert listening.open_callers_port() is None
+        write_settings_file(tmp_path, monkeypatch, content)
+        assert listening.open_caller_socket() is None
+    monkeypatch.delenv(listening.SETTINGS_PATH_VARIABLE)
+    assert listening.open_caller_socket() is None
 
 
 def test_the_port_opens_before_the_large_libraries_load():
@@ -102,7 +102,7 @@
     assert loaded_by("endive_platform.listening", large) == "[]"
 
 
-def test_a_gateway_loads_no_library_that_it_can_serve_without():
+def test_a_gateway_loads_no_unneeded_library():
     """All nodes lost power and start again. Until their libraries are loaded callers
     wait: 150 ms of processor time with urllib3 and absl and what these bring, 105 ms
     without, medians of three starts each."""
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -31,10 +31,10 @@
 
     def __init__(self, *script):
         self.script = list(script)
-        self.made = []
+        self.recorded = []
 
     def call(self, method, path, *, query=None, body=None, headers=None, wait_s=0.0):
-        self.made.append((method, path, query, body, headers))
+        self.recorded.append((method, path, query, body, headers))
         entry = self.script.pop(0)
         if isinstance(entry, Exception):
             raise entry
@@ -64,24 +64,24 @@
     assert page.end == 9
 
 
-def test_records_without_keys_are_whole():
+def test_a_record_without_a_key_is_all_value():
     page = store(Response(200, framed(b"abc", end=1))).read(Topic.DUTIES, 0)
     assert page.records[0].value == b"abc"
 
 
 @pytest.mark.parametrize("data", [b"", b"short", framed(b"abc", end=1)[:-1]])
-def test_an_answer_that_ends_early_is_no_answer(data):
+def test_a_truncated_response_is_an_error(data):
     with pytest.raises(StoreError):
         store(Response(200, data)).read(Topic.DUTIES, 0)
 
 
-def test_forgotten_records_tell_the_oldest_kept():
+def test_an_offset_out_of_range_reports_the_oldest_offset():
     with pytest.raises(StoreOffsetOutOfRangeError) as caught:
         store(Response(410, {"first": 12})).read(Topic.SERVERS, 7)
     assert caught.value.first == 12
 
 
-def test_the_newest_records_come_page_by_page():
+def test_the_newest_records_are_read_page_by_page():
     def page(*keys, truncated):
         items = [
             {"key": k, "value": base64.b64encode(b"x").decode(), "offset": 1}
@@ -89,23 +89,23 @@
         ]
         return Response(200, {"items": items, "truncated": truncated, "end": 5})
 
-    made = store(page("a", "b", truncated=True), page("c", truncated=False))
-    found = made.newest(Topic.SERVERS)
+    adapter = store(page("a", "b", truncated=True), page("c", truncated=False))
+    found = adapter.newest(Topic.SERVERS)
     assert [record.key for record in found.records] == ["a", "b", "c"]
-    assert made.calls.made[1][2]["after"] == "b"
+    assert adapter.calls.recorded[1][2]["after"] == "b"
     assert found.end == 5
 
 
-def test_an_append_on_a_condition_tells_where_it_went_or_the_end():
-    made = store(Response(200, {"offset": 4, "end": 5}), Response(412, {"end": 9}))
-    assert made.append(Topic.DUTIES, b"x", at=4) == 4
-    assert made.calls.made[0][3] == b"\x00\x00\x00\x01x"
+def test_a_conditional_append_returns_its_offset_or_reports_the_end():
+    adapter = store(Response(200, {"offset": 4, "end": 5}), Response(412, {"end": 9}))
+    assert adapter.append(Topic.DUTIES, b"x", at=4) == 4
+    assert adapter.calls.recorded[0][3] == b"\x00\x00\x00\x01x"
     with pytest.raises(StoreConflictError) as caught:
-        made.append(Topic.DUTIES, b"x", at=5)
+        adapter.append(Topic.DUTIES, b"x", at=5)
     assert caught.value.end == 9
 
 
-def test_a_lost_answer_is_uncertain_and_a_refused_connection_is_not():
+def test_an_append_without_a_response_has_an_unknown_outcome_once_it_was_sent():
     with pytest.raises(StoreOutcomeUnknownError):
         store(CallFailedError("lost", sent=True)).append(Topic.DUTIES, b"x")
     with pytest.raises(StoreError) as caught:
@@ -114,12 +114,12 @@
 
 
 @pytest.mark.parametrize("status", [429, 503, 507, 500])
-def test_a_refusal_is_an_error(status):
+def test_an_error_status_is_a_store_error(status):
     with pytest.raises(StoreError):
         store(Response(status)).read(Topic.SERVERS, 0)
 
 
-def test_a_read_that_was_lost_did_nothing():
+def test_a_read_without_a_response_has_no_unknown_outcome():
     with pytest.raises(StoreError) as caught:
         store(CallFailedError("lost", sent=True)).read(Topic.SERVERS, 0)
     assert not isinstance(caught.value, StoreOutcomeUnknownError)
@@ -129,29 +129,29 @@
     return PlatformCloud(ScriptedCalls(*script))
 
 
-def test_usage_names_holder_and_fence():
-    made = cloud(Response(200))
-    made.report_usage("n1", 12, 7, {"p": 1, "o": 2})
-    method, path, _, body, headers = made.calls.made[0]
+def test_usage_names_holder_and_fencing_token():
+    adapter = cloud(Response(200))
+    adapter.report_usage("n1", 12, 7, {"p": 1, "o": 2})
+    method, path, _, body, headers = adapter.calls.recorded[0]
     assert (method, path) == ("POST", "/usage")
     assert json.loads(body) == {"window_id": 7, "counts": {"o": 2, "p": 1}}
     assert (headers["Duty-Holder"], headers["Fencing-Token"]) == ("n1", "12")
 
 
 def test_orders_of_both_kinds():
-    made = cloud(Response(200), Response(200), Response(409), Response(503))
-    made.order("n1", 1, Order("s", "a", 2, True))
-    made.order("n1", 1, Order("s", "a", 2, False))
-    bodies = [json.loads(call[3]) for call in made.calls.made]
+    adapter = cloud(Response(200), Response(200), Response(409), Response(503))
+    adapter.order("n1", 1, Order("s", "a", 2, True))
+    adapter.order("n1", 1, Order("s", "a", 2, False))
+    bodies = [json.loads(call[3]) for call in adapter.calls.recorded]
     assert bodies[0] == {"service": "s", "zone": "a", "desired": 2, "spot": True}
     assert "spot" not in bodies[1]
     with pytest.raises(CloudCapacityError):
-        made.order("n1", 1, Order("s", "a", 2, True))
+        adapter.order("n1", 1, Order("s", "a", 2, True))
     with pytest.raises(CloudError):
-        made.order("n1", 1, Order("s", "a", 2, True))
+        adapter.order("n1", 1, Order("s", "a", 2, True))
 
 
-def test_a_call_that_waits_lets_others_run():
+def test_a_waiting_call_does_not_block_other_greenlets():
     """A read of the store waits for seconds. If it held up the process, no caller would
     be answered meanwhile."""
     server = StreamServer(("127.0.0.1", 0), lambda _sock, _address: gevent.sleep(5))
@@ -168,7 +168,7 @@
     assert turns > 15
 
 
-def test_a_call_without_an_answer_may_have_been_done(monkeypatch):
+def test_a_call_without_a_response_may_have_been_executed(monkeypatch):
     monkeypatch.setattr(calls_module, "READ_TIMEOUT_S", 0.1)
     server = StreamServer(("127.0.0.1", 0), lambda _sock, _address: gevent.sleep(5))
     server.start()
@@ -178,7 +178,7 @@
     assert caught.value.sent
 
 
-def test_nobody_there_is_told_apart_from_a_lost_answer():
+def test_a_refused_connection_has_sent_nothing():
     with pytest.raises(CallFailedError) as caught:
         PlatformCalls("127.0.0.1:1").call("GET", "/x")
     assert not caught.value.sent
