--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -67,8 +67,12 @@
     assert (found.kind, found.timeout_s, found.resumable) == (RouteKind.STREAM, 3, True)
     assert found.choose(0.5) == "s"
     assert table.keys == {"k1": "o", "k2": "o"}
-    limits = table.organisations["o"]
-    assert (limits.rate, limits.burst, limits.counts_tokens) == (10, 20, True)
+    organisation_limits = table.organisations["o"]
+    assert (
+        organisation_limits.rate,
+        organisation_limits.burst,
+        organisation_limits.counts_tokens,
+    ) == (10, 20, True)
     service = table.services["s"]
     assert service.engine.tokens_per_event == 3
     assert service.scaling.zone_prices == {"a": 0.85}
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -50,8 +50,8 @@
 
 @pytest.mark.parametrize("name", [b"Request-Id", b"authorization", b"DEADLINE-MS"])
 def test_a_header_that_counts_may_come_once_only(name):
-    """A caller sends two ids or two keys. This node would go by one of them and the
-    server by the other."""
+    """A request with two ids or two keys is rejected: the gateway could act on one of
+    them and the server on the other."""
     twice = [*headers(), (name, b"5"), (name.lower(), b"6")]
     with pytest.raises(BadHeaderError):
         decode_request(twice)
--- a/tests/test_platform_layout.py
+++ b/tests/test_platform_layout.py
@@ -16,8 +16,8 @@
 
 
 def test_the_folder_does_not_shadow_the_standard_module():
-    # A package at the root with the module's name would be found first by whatever
-    # is started there, and libraries that ask for the machine would fail.
+    # A package `platform` at the root would shadow the standard module for programs
+    # started there, and libraries that query the machine type would fail.
     assert platform.python_implementation()
     assert not (ROOT / "platform" / "__init__.py").exists()
     assert Path(platform.__file__).parent != ROOT / "platform"
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("package", ["endive_core", "endive_gateway", "endive_node"])
 def test_a_package_lists_all_its_modules(package):
-    """A newcomer finds the room for a change by the list at the package's door."""
+    """Readers find the module to change by the list in the package's doc comment."""
     folder = ROOT / "packages" / package / "src" / package
     listed = re.findall(r"``(\w+)``", (folder / "__init__.py").read_text())
     modules = [file.stem for file in folder.glob("*.py") if file.stem != "__init__"]
@@ -59,7 +59,7 @@
 
 
 def test_the_gateway_has_no_import_cycles():
-    """Imports for types count too: who reads one module of a circle has to read all."""
+    """Imports for types count too: no module of a cycle can be read by itself."""
     folder = ROOT / "packages" / "endive_gateway" / "src" / "endive_gateway"
     imports = {file.stem: set(imported_by(file)) for file in folder.glob("*.py")}
     while leaves := {name for name, needed in imports.items() if not needed}:
@@ -72,7 +72,7 @@
 
 
 def imported_by(file):
-    """Return the modules of the file's own package that it imports."""
+    """Yield the modules of its own package that a file imports."""
     package = file.parent.name
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
--- a/tests/test_platform_logs.py
+++ b/tests/test_platform_logs.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def log_lines(monkeypatch):
-    """All log lines that are written during a test."""
+    """All log lines written during a test."""
     found = []
     monkeypatch.setattr(
         logs.logger, "info", lambda text, *arguments: found.append(text % arguments)
@@ -25,7 +25,7 @@
 
 
 def documented_lines():
-    """Return the page's log lines, by event and keys."""
+    """Return the log lines on the operations page, by event and keys."""
     text = OPERATIONS_PAGE.read_text().partition("# On the users' platform")[2]
     blocks = re.findall(r"```text\n(.*?)```", text, re.DOTALL)
     return {
@@ -36,6 +36,7 @@
 
 
 def written_lines(log_lines):
+    """Return the written log lines, by event and keys."""
     return {
         (match[1], tuple(KEY_PATTERN.findall(line)))
         for line in log_lines
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -1,4 +1,4 @@
-"""The first moments of a gateway, as callers meet them."""
+"""The start of a gateway, as seen by callers."""
 
 import json
 import os
@@ -40,8 +40,8 @@
 
 
 def test_a_caller_that_connects_while_libraries_load_is_served(tmp_path, monkeypatch):
-    """All nodes lost power and start again. A caller connects before a node's libraries
-    are loaded; refused, it would have used up its one further try."""
+    """All nodes restart after a power failure. A caller that connects before a node's
+    libraries are loaded must not be refused, since that would use up its only retry."""
     address = f"127.0.0.1:{free_port()}"
     write_settings_file(
         tmp_path, monkeypatch, json.dumps({"listen": {"front": address}, "x": 1})
@@ -59,8 +59,8 @@
 
 
 def test_a_request_waits_until_a_starting_node_knows_routes_and_servers():
-    """A caller reaches a node 30 ms before the store's answers do. A refusal would use
-    up its one further try."""
+    """A request arrives 30 ms before the store's responses. A refusal would use up the
+    caller's only retry."""
     server = ScriptedServer()
     context = make_context()
     serving = serve(context, listening.listen_tcp("127.0.0.1", 0))
@@ -76,8 +76,8 @@
 
 
 def test_a_node_without_a_store_refuses_at_once_after_the_start_wait():
-    """The store is away for long. Each caller that waited half a second for nothing
-    would have gone to another node sooner."""
+    """The store is unavailable for long. A request that waited half a second at each
+    node would reach a node that can serve it only that much later."""
     context = make_context()
     context.started_at -= START_WAIT_S
     serving = serve(context, listening.listen_tcp("127.0.0.1", 0))
@@ -97,21 +97,21 @@
 
 
 def test_the_port_opens_before_the_large_libraries_load():
-    """A library that is loaded first keeps callers out for as long as it takes."""
+    """Callers are refused for as long as libraries load before the port is open."""
     large = ("gevent", "msgspec", "absl", "urllib3")
     assert loaded_by("endive_platform.listening", large) == "[]"
 
 
 def test_a_gateway_loads_no_unneeded_library():
-    """All nodes lost power and start again. Until their libraries are loaded callers
-    wait: 150 ms of processor time with urllib3 and absl and what these bring, 105 ms
-    without, medians of three starts each."""
+    """All nodes restart after a power failure, and callers wait until the libraries are
+    loaded. That takes 150 ms of processor time with urllib3, absl and their imports,
+    and 105 ms without (medians of three starts each)."""
     large = ("urllib3", "absl", "ssl", "email", "argparse", "pydantic", "thrift")
     assert loaded_by("endive_platform.__main__", large) == "[]"
 
 
 def loaded_by(module, names):
-    """Return which of `names` a program loads together with `module`."""
+    """Return which modules of `names` are loaded by importing `module`."""
     program = (
         f"import sys, {module};print([name for name in {names} if name in sys.modules])"
     )
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -27,7 +27,7 @@
 
 
 class ScriptedCalls:
-    """Answers of the platform, one for each call."""
+    """Scripted responses of the platform, one for each call."""
 
     def __init__(self, *script):
         self.script = list(script)
@@ -152,20 +152,20 @@
 
 
 def test_a_waiting_call_does_not_block_other_greenlets():
-    """A read of the store waits for seconds. If it held up the process, no caller would
-    be answered meanwhile."""
+    """A long-polling read of the store waits for seconds. If it blocked the process, no
+    caller would be served meanwhile."""
     server = StreamServer(("127.0.0.1", 0), lambda _sock, _address: gevent.sleep(5))
     server.start()
     calls = PlatformCalls(f"127.0.0.1:{server.server_port}")
     waiting = gevent.spawn(calls.call, "GET", "/x")
-    turns = 0
+    iterations = 0
     with gevent.Timeout(0.3, False):
         while True:
             gevent.sleep(0.01)
-            turns += 1
+            iterations += 1
     waiting.kill()
     server.stop(0)
-    assert turns > 15
+    assert iterations > 15
 
 
 def test_a_call_without_a_response_may_have_been_executed(monkeypatch):
