--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -76,8 +76,8 @@
 
 
 def test_a_node_without_a_store_refuses_at_once_after_the_start_wait():
-    """The store is unavailable for long. A request that waited half a second at each
-    node would reach a node that can serve it only that much later."""
+    """The store is unavailable for long. A caller that waited half a second in
+    vain could have tried another node that much sooner."""
     context = make_context()
     context.started_at -= START_WAIT_S
     serving = serve(context, listening.listen_tcp("127.0.0.1", 0))
