--- a/tests/test_platform_layout.py
+++ b/tests/test_platform_layout.py
@@ -8,28 +8,28 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 
-WIRE_NAMES = (
+PLATFORM_NAMES = (
     "Deadline-Ms|Response-Seal|Expect-Instance|Not-Run|Prompt-Prefix|Token-Counts"
     "|Kv-From|Fencing-Token|Duty-Holder|Server-Load|Request-Priority|keyed\\.(op|servers)"
     "|log-(append|read|newest|join)|kv-move|ENDIVESTACK_BOOT"
 )
 
 
-def test_the_standard_module_keeps_its_name():
-    # A package at the root with the module's name would be found first by whatever
-    # is started there, and libraries that ask for the machine would fail.
+def test_the_folder_does_not_shadow_the_standard_module():
+    # A package `platform` at the root would shadow the standard module for programs
+    # started there, and libraries that query the machine type would fail.
     assert platform.python_implementation()
     assert not (ROOT / "platform" / "__init__.py").exists()
     assert Path(platform.__file__).parent != ROOT / "platform"
 
 
-def test_no_name_of_the_wire_outside_the_adapter():
+def test_platform_names_appear_only_in_the_adapter():
     found = subprocess.run(
         [
             "git",
             "grep",
             "-nE",
-            WIRE_NAMES,
+            PLATFORM_NAMES,
             "--",
             "*.py",
             ":!platform",
@@ -50,16 +50,16 @@
 
 
 @pytest.mark.parametrize("package", ["endive_core", "endive_gateway", "endive_node"])
-def test_a_package_says_what_each_module_is_for(package):
-    """A newcomer finds the room for a change by the list at the package's door."""
+def test_a_package_lists_all_its_modules(package):
+    """Readers find the module to change by the list in the package's doc comment."""
     folder = ROOT / "packages" / package / "src" / package
     listed = re.findall(r"``(\w+)``", (folder / "__init__.py").read_text())
     modules = [file.stem for file in folder.glob("*.py") if file.stem != "__init__"]
     assert sorted(listed) == sorted(modules)
 
 
-def test_no_modules_of_the_gateway_import_each_other_in_a_circle():
-    """Imports for types count too: who reads one module of a circle has to read all."""
+def test_the_gateway_has_no_import_cycles():
+    """Imports for types count too: no module of a cycle can be read by itself."""
     folder = ROOT / "packages" / "endive_gateway" / "src" / "endive_gateway"
     imports = {file.stem: set(imported_by(file)) for file in folder.glob("*.py")}
     while leaves := {name for name, needed in imports.items() if not needed}:
@@ -72,7 +72,7 @@
 
 
 def imported_by(file):
-    """Return the modules of the file's own package that it imports."""
+    """Yield the modules of its own package that a file imports."""
     package = file.parent.name
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
