--- a/packages/endive_node/src/endive_node/__init__.py
+++ b/packages/endive_node/src/endive_node/__init__.py
@@ -6,7 +6,7 @@
 - callers' side: ``callers``, ``serving``, ``runs``, ``ledger``, ``watching``
 - servers' side: ``attempts``, ``backends``, ``dispatching``, ``waiters``, ``observing``
 - requests that move: ``moves``, ``moving``, ``handover``, ``takeover``, ``locating``
-- operators: ``operators``, ``reporting``, ``explaining``
+- operators: ``operators``, ``reporting``, ``request_traces``
 - what the platform says: ``platform``, ``configuration``, ``snapshots``,
   ``snapshot_writer``, ``claiming``, ``shards``, ``notices``
 - between nodes: ``gossip``, ``peers``, ``spreading``
