--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -12,7 +12,6 @@
 from endive_node.gossip import Gossip
 from endive_node.handover import Handover
 from endive_node.listeners import HttpListener
-from endive_node.locating import Locator
 from endive_node.logs import log_event
 from endive_node.moving import Mover
 from endive_node.notices import NoticeBoard, NoticeWatcher
@@ -20,6 +19,7 @@
 from endive_node.operators import OperatorApi
 from endive_node.peers import PeerConfigurations, PeerHandler, PeerListener
 from endive_node.platform import HttpCloud, HttpInstanceList, HttpLog
+from endive_node.request_lookup import Locator
 from endive_node.serving import Serving
 from endive_node.settings import Settings
 from endive_node.snapshot_writer import SnapshotWriter
@@ -102,7 +102,7 @@
         self.spreader = Spreader(self.gossip, self.board, self.dispatcher.crashes)
         self.mover = Mover(self.serving, self.dispatcher, self.board)
         self.configuration.listeners.append(lambda _: self.mover.mark())
-        self.serving.elsewhere = Locator(
+        self.serving.request_locator = Locator(
             settings.node.id, self.members, self.board, self.clock
         )
 
