--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -13,7 +13,6 @@
 from endive_node.handover import Handover
 from endive_node.listeners import HttpListener
 from endive_node.logs import log_event
-from endive_node.moving import Mover
 from endive_node.notices import NoticeBoard, NoticeWatcher
 from endive_node.observing import Observer
 from endive_node.operators import OperatorApi
@@ -24,6 +23,7 @@
 from endive_node.settings import Settings
 from endive_node.snapshot_writer import SnapshotWriter
 from endive_node.spreading import Spreader
+from endive_node.stream_mover import StreamMover
 from endive_node.telemetry import Metrics, MonotonicClock
 
 DRAIN_POLL_S = 0.05
@@ -100,8 +100,10 @@
         )
         self.handover = Handover(self.serving, settings.node, self.members, self.board)
         self.spreader = Spreader(self.gossip, self.board, self.dispatcher.crashes)
-        self.mover = Mover(self.serving, self.dispatcher, self.board)
-        self.configuration.listeners.append(lambda _: self.mover.mark())
+        self.stream_mover = StreamMover(self.serving, self.dispatcher, self.board)
+        self.configuration.listeners.append(
+            lambda _: self.stream_mover.mark_leaving_servers()
+        )
         self.serving.request_locator = Locator(
             settings.node.id, self.members, self.board, self.clock
         )
