--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -9,20 +9,20 @@
 from endive_node.claiming import LogClaims
 from endive_node.configuration import Configuration
 from endive_node.dispatching import Dispatcher
+from endive_node.fact_exchange import FactExchange
 from endive_node.gossip import Gossip
 from endive_node.handover import Handover
 from endive_node.listeners import HttpListener
 from endive_node.logs import log_event
-from endive_node.notices import NoticeBoard, NoticeWatcher
-from endive_node.observing import Observer
+from endive_node.notices import NoticeTable, NoticeWatcher
 from endive_node.operators import OperatorApi
 from endive_node.peers import PeerConfigurations, PeerHandler, PeerListener
 from endive_node.platform import HttpCloud, HttpInstanceList, HttpLog
 from endive_node.request_lookup import Locator
+from endive_node.server_polling import ServerPoller
 from endive_node.serving import Serving
 from endive_node.settings import Settings
 from endive_node.snapshot_writer import SnapshotWriter
-from endive_node.spreading import Spreader
 from endive_node.stream_mover import StreamMover
 from endive_node.telemetry import Metrics, MonotonicClock
 
@@ -56,7 +56,7 @@
         )
         self.configuration.listeners.append(lambda _: self.dispatcher.refresh())
         self._make_gossip()
-        self.observer = Observer(
+        self.server_poller = ServerPoller(
             self.dispatcher,
             self.clients,
             settings.backends,
@@ -93,19 +93,23 @@
 
     def _make_reclaim(self) -> None:
         settings, platform = self.settings, self.settings.platform
-        self.board = NoticeBoard(self.clock)
+        self.notices = NoticeTable(self.clock)
         cloud = platform.cloud and HttpCloud(platform.cloud, platform.timeout_s)
-        self.notices = NoticeWatcher(
-            self.board, cloud, self.instance_list, platform.notice_poll_s
+        self.notice_watcher = NoticeWatcher(
+            self.notices, cloud, self.instance_list, platform.notice_poll_s
         )
-        self.handover = Handover(self.serving, settings.node, self.members, self.board)
-        self.spreader = Spreader(self.gossip, self.board, self.dispatcher.crashes)
-        self.stream_mover = StreamMover(self.serving, self.dispatcher, self.board)
+        self.handover = Handover(
+            self.serving, settings.node, self.members, self.notices
+        )
+        self.fact_exchange = FactExchange(
+            self.gossip, self.notices, self.dispatcher.crashes
+        )
+        self.stream_mover = StreamMover(self.serving, self.dispatcher, self.notices)
         self.configuration.listeners.append(
             lambda _: self.stream_mover.mark_leaving_servers()
         )
         self.serving.request_locator = Locator(
-            settings.node.id, self.members, self.board, self.clock
+            settings.node.id, self.members, self.notices, self.clock
         )
 
     def _make_listeners(self) -> None:
@@ -178,9 +182,9 @@
             self.join,
             self.serving.expire,
             self.dispatcher.pump_often,
-            self.observer.follow,
-            self.notices.watch_notices,
-            self.notices.watch_list,
+            self.server_poller.follow,
+            self.notice_watcher.watch_notices,
+            self.notice_watcher.watch_list,
         )
         for loop in loops:
             self.greenlets.append(gevent.spawn(loop))
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -13,7 +13,7 @@
 from endive_node.attempts import RunAttempt
 from endive_node.backends import EngineServer
 from endive_node.contexts import RunContext
-from endive_node.interfaces import BackendError, Paused
+from endive_node.interfaces import BackendError, RunPaused
 from endive_node.logs import log_event
 from endive_node.pending_moves import PendingMove
 from endive_node.request_registry import RequestRecord, read_tokens
@@ -78,7 +78,7 @@
         self.driver = gevent.getcurrent()
         try:
             next(self._steps, None)
-        except Paused:
+        except RunPaused:
             pass
         except EndiveError as error:
             self._fail(error)
@@ -138,7 +138,7 @@
 
     def _interrupt(self) -> None:
         if self.driving and self.paused:
-            self.driver.throw(Paused)
+            self.driver.throw(RunPaused)
 
     def wait_for_holder(self, *, sent_before: bool) -> None:
         """Hold a request that another node has not stopped yet."""
@@ -262,7 +262,7 @@
     def _end_in(self, error: EndiveError) -> None:
         self.record.error = error
         self.trace.note(ending(error))
-        self.context.metrics.refused(error.kind)
+        self.context.metrics.count_refusal(error.kind)
         self._ended(outcome=error.kind)
         self.record.wake()
 
@@ -328,8 +328,10 @@
         self.lifecycle.fire(Event.CLAIM)
         self.continues = self.claim_continues
         try:
-            self.claim = self.context.claims.win(self.record.request, self.continues)
-        except Paused:
+            self.claim = self.context.claims.acquire(
+                self.record.request, self.continues
+            )
+        except RunPaused:
             self.lifecycle.fire(Event.UNCLAIM)
             raise
         self.lifecycle.fire(Event.WON)
@@ -348,7 +350,7 @@
     def _give_up_claim(self) -> None:
         """Free the key if nothing was sent; called once the chart rules that out."""
         if self.claim is not None:
-            self.context.claims.give_up(self.claim)
+            self.context.claims.withdraw(self.claim)
 
     def _attempt(self, server: ServerView) -> Iterator[None]:
         self._use_claim()
--- a/packages/endive_node/src/endive_node/serving.py
+++ b/packages/endive_node/src/endive_node/serving.py
@@ -12,7 +12,7 @@
 from endive_node.backends import BackendClients
 from endive_node.contexts import RunContext
 from endive_node.dispatching import Dispatcher
-from endive_node.interfaces import Claims, Clock, Elsewhere
+from endive_node.interfaces import Claims, Clock, RequestLocator
 from endive_node.request_registry import RequestRecord, RequestRegistry
 from endive_node.request_traces import TraceStore
 from endive_node.runs import Run
@@ -53,7 +53,7 @@
         self.stopping = False
         self.leaving = False
         self.handing_over = False
-        self.request_locator: Elsewhere | None = None
+        self.request_locator: RequestLocator | None = None
 
     def new_request_id(self, organisation: str = "", key: str = "") -> str:
         """Return an id from which any node can work out where the answer is."""
@@ -73,7 +73,7 @@
         try:
             return self._accept(request)
         except EndiveError as error:
-            self.metrics.refused(error.kind)
+            self.metrics.count_refusal(error.kind)
             self.traces.refused(request, error)
             error.request_id = request.request_id
             raise
