--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -19,7 +19,7 @@
 from endive_node.interfaces import Members
 from endive_node.locating import page_of
 from endive_node.logs import log_event
-from endive_node.notices import Notice, NoticeBoard
+from endive_node.notices import Notice, NoticeTable
 from endive_node.peers import (
     IDL,
     PeerClient,
@@ -68,12 +68,12 @@
         serving: Serving,
         section: NodeSection,
         members: Members,
-        board: NoticeBoard,
+        notices: NoticeTable,
     ) -> None:
         self.serving = serving
         self.section = section
         self.members = members
-        self.board = board
+        self.notices = notices
         self.holders: dict[str, str] = {}
         self.begun = False
         self.takeover = Takeover(serving)
@@ -82,13 +82,13 @@
         metrics = serving.metrics
         self.given = metrics.counter("endive_handover_requests_given")
         self.declined = metrics.counter("endive_handover_calls_declined")
-        board.listeners.append(self.on_notice)
+        notices.listeners.append(self.on_notice)
 
     def on_notice(self, notice: Notice) -> None:
         """Begin if `notice` takes this node."""
         if self.begun:
             return
-        if self.board.concerning(self.section.id, self.section.zone) is notice:
+        if self.notices.notice_for(self.section.id, self.section.zone) is notice:
             self.begun = self.serving.handing_over = True
             gevent.spawn(self.run, notice)
 
@@ -204,11 +204,11 @@
 
     def _target(self, request_id: str):
         handover = self.handover
-        gone = {handover.section.id} | handover.board.instances()
+        gone = {handover.section.id} | handover.notices.instances()
         order = handover_targets(
             route_in(request_id),
             handover.members.live(),
-            zones_under_notice=handover.board.zones(),
+            zones_under_notice=handover.notices.zones(),
             without=frozenset(gone),
         )
         # A node that was slow once is better than none.
--- a/packages/endive_node/src/endive_node/locating.py
+++ b/packages/endive_node/src/endive_node/locating.py
@@ -17,7 +17,7 @@
 from endive_node.backends import PlainAnswer
 from endive_node.interfaces import Clock, Members
 from endive_node.ledger import RequestRecord, read_tokens
-from endive_node.notices import NoticeBoard
+from endive_node.notices import NoticeTable
 from endive_node.peers import IDL, PeerClient, PeerConnection, PeerUnavailableError
 
 LOOKUP_TIMEOUT_S = 0.5
@@ -41,11 +41,11 @@
     """
 
     def __init__(
-        self, node_id: str, members: Members, board: NoticeBoard, clock: Clock
+        self, node_id: str, members: Members, notices: NoticeTable, clock: Clock
     ) -> None:
         self.node_id = node_id
         self.members = members
-        self.board = board
+        self.notices = notices
         self.clock = clock
 
     def find_id(self, organisation: str, request_id: str) -> "RemoteRun | None":
@@ -58,7 +58,7 @@
         Outside a reclaim nobody is asked: it would cost each request with a key a
         round trip to three nodes.
         """
-        if not self.board.recent():
+        if not self.notices.has_recent():
             return None
         route = route_of(organisation, key, "")
         return self._find(Lookup(organisation, "", route, key))
@@ -85,7 +85,7 @@
         order = handover_targets(
             lookup.route,
             live,
-            zones_under_notice=self.board.zones(),
+            zones_under_notice=self.notices.zones(),
             without=own,
         )
         origin = origin_in(lookup.request_id)
--- a/packages/endive_node/src/endive_node/moving.py
+++ b/packages/endive_node/src/endive_node/moving.py
@@ -10,7 +10,7 @@
 from endive_node.dispatching import Dispatcher
 from endive_node.logs import log_event
 from endive_node.moves import Move
-from endive_node.notices import Notice, NoticeBoard
+from endive_node.notices import Notice, NoticeTable
 from endive_node.runs import Run
 from endive_node.serving import Serving
 
@@ -27,15 +27,15 @@
     """
 
     def __init__(
-        self, serving: Serving, dispatcher: Dispatcher, board: NoticeBoard
+        self, serving: Serving, dispatcher: Dispatcher, notices: NoticeTable
     ) -> None:
         self.serving = serving
         self.dispatcher = dispatcher
-        self.board = board
+        self.notices = notices
         metrics = serving.metrics
         self.exported = metrics.counter("endive_streams_exported")
         self.resumed = metrics.counter("endive_streams_resumed")
-        board.listeners.append(self.on_notice)
+        notices.listeners.append(self.on_notice)
 
     def on_notice(self, notice: Notice) -> None:
         """Give the servers that `notice` takes no new work, and empty them.
@@ -46,14 +46,14 @@
         for server in self.mark():
             if self.serving.handing_over:
                 continue
-            if self.board.concerning(server.id, server.zone) is notice:
+            if self.notices.notice_for(server.id, server.zone) is notice:
                 gevent.spawn(self.empty, server, notice)
 
     def mark(self) -> list[ServerView]:
         """Take all servers under notice out of the choice; return them."""
         found = []
         for server in list(self._servers()):
-            if self.board.concerning(server.id, server.zone) is not None:
+            if self.notices.notice_for(server.id, server.zone) is not None:
                 self.dispatcher.leave(server.id)
                 found.append(server)
         return found
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -15,7 +15,7 @@
 from endive_node.locating import Locator
 from endive_node.logs import log_event
 from endive_node.moving import Mover
-from endive_node.notices import NoticeBoard, NoticeWatcher
+from endive_node.notices import NoticeTable, NoticeWatcher
 from endive_node.observing import Observer
 from endive_node.operators import OperatorApi
 from endive_node.peers import PeerConfigurations, PeerHandler, PeerListener
@@ -93,17 +93,19 @@
 
     def _make_reclaim(self) -> None:
         settings, platform = self.settings, self.settings.platform
-        self.board = NoticeBoard(self.clock)
+        self.notices = NoticeTable(self.clock)
         cloud = platform.cloud and HttpCloud(platform.cloud, platform.timeout_s)
-        self.notices = NoticeWatcher(
-            self.board, cloud, self.instance_list, platform.notice_poll_s
+        self.notice_watcher = NoticeWatcher(
+            self.notices, cloud, self.instance_list, platform.notice_poll_s
         )
-        self.handover = Handover(self.serving, settings.node, self.members, self.board)
-        self.spreader = Spreader(self.gossip, self.board, self.dispatcher.crashes)
-        self.mover = Mover(self.serving, self.dispatcher, self.board)
+        self.handover = Handover(
+            self.serving, settings.node, self.members, self.notices
+        )
+        self.spreader = Spreader(self.gossip, self.notices, self.dispatcher.crashes)
+        self.mover = Mover(self.serving, self.dispatcher, self.notices)
         self.configuration.listeners.append(lambda _: self.mover.mark())
         self.serving.elsewhere = Locator(
-            settings.node.id, self.members, self.board, self.clock
+            settings.node.id, self.members, self.notices, self.clock
         )
 
     def _make_listeners(self) -> None:
@@ -177,8 +179,8 @@
             self.serving.expire,
             self.dispatcher.pump_often,
             self.observer.follow,
-            self.notices.watch_notices,
-            self.notices.watch_list,
+            self.notice_watcher.watch_notices,
+            self.notice_watcher.watch_list,
         )
         for loop in loops:
             self.greenlets.append(gevent.spawn(loop))
--- a/packages/endive_node/src/endive_node/notices.py
+++ b/packages/endive_node/src/endive_node/notices.py
@@ -46,7 +46,7 @@
         return (self.instance, "") if self.instance else ("", self.zone)
 
 
-class NoticeBoard:
+class NoticeTable:
     """Which zones and instances are being reclaimed, as far as this node knows.
 
     The node's watcher and the heartbeats put notices up; the handover, the streams
@@ -60,17 +60,17 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.notices: dict[tuple[str, str], Notice] = {}
+        self.by_subject: dict[tuple[str, str], Notice] = {}
         self.listeners: list[Callable[[Notice], None]] = []
         self.last_new_at: float | None = None
 
     def put(self, instance: str, zone: str, seconds_left: float) -> None:
         """Note a notice; one that is known already is passed over."""
         notice = Notice(instance, zone, self.clock.now() + seconds_left)
-        known = self.notices.get(notice.subject)
+        known = self.by_subject.get(notice.subject)
         if known is not None and self.clock.now() < known.ends_at + REMEMBER_S:
             return
-        self.notices[notice.subject] = notice
+        self.by_subject[notice.subject] = notice
         self.last_new_at = self.clock.now()
         log_event(
             "reclaim_notice", instance=instance, zone=zone, seconds_left=seconds_left
@@ -90,12 +90,12 @@
         """Return the instances that have a notice of their own."""
         return frozenset(n.instance for n in self._current() if n.instance)
 
-    def concerning(self, instance: str, zone: str) -> Notice | None:
+    def notice_for(self, instance: str, zone: str) -> Notice | None:
         """Return the notice that takes `instance` in `zone`, or ``None``."""
-        by_instance = self.notices.get((instance, ""))
-        return by_instance or self.notices.get(("", zone))
+        by_instance = self.by_subject.get((instance, ""))
+        return by_instance or self.by_subject.get(("", zone))
 
-    def recent(self) -> bool:
+    def has_recent(self) -> bool:
         """Return whether requests may have changed nodes lately."""
         if self.last_new_at is None:
             return False
@@ -103,10 +103,10 @@
 
     def _current(self) -> list[Notice]:
         now = self.clock.now()
-        for subject, notice in list(self.notices.items()):
+        for subject, notice in list(self.by_subject.items()):
             if now > notice.ends_at + REMEMBER_S:
-                del self.notices[subject]
-        return list(self.notices.values())
+                del self.by_subject[subject]
+        return list(self.by_subject.values())
 
 
 class NoticeWatcher:
@@ -117,12 +117,12 @@
 
     def __init__(
         self,
-        board: NoticeBoard,
+        notices: NoticeTable,
         cloud: CloudApi | None,
         instances: InstanceList | None,
         poll_s: float,
     ) -> None:
-        self.board = board
+        self.notices = notices
         self.cloud = cloud
         self.instances = instances
         self.poll_s = poll_s
@@ -132,7 +132,7 @@
         while self.cloud is not None:
             try:
                 for notice in self.cloud.notices():
-                    self.board.put(
+                    self.notices.put(
                         notice["instance"] or "",
                         notice["zone"] or "",
                         notice["seconds_left"],
@@ -151,7 +151,7 @@
             try:
                 for entry in self.instances.instances():
                     if entry["state"] == LEAVING:
-                        self.board.put(entry["id"], "", 0.0)
+                        self.notices.put(entry["id"], "", 0.0)
             except PLATFORM_ERRORS as error:
                 log_event("instance_list_unread", error=error)
             gevent.sleep(LIST_POLL_S)
--- a/packages/endive_node/src/endive_node/reporting.py
+++ b/packages/endive_node/src/endive_node/reporting.py
@@ -76,7 +76,7 @@
             "configuration": self.configuration(),
             "nodes": [shown_member(member) for member in node.members.live()],
             "in_flight": len(node.serving.ledger.unfinished()),
-            "zones_under_notice": sorted(node.board.zones()),
+            "zones_under_notice": sorted(node.notices.zones()),
             "queues": self.queues(),
             "servers": self.servers(),
             "refusals": {
--- a/packages/endive_node/src/endive_node/spreading.py
+++ b/packages/endive_node/src/endive_node/spreading.py
@@ -4,7 +4,7 @@
 from endive_core.facts import Fact, FactKind
 
 from endive_node.gossip import Gossip
-from endive_node.notices import Notice, NoticeBoard
+from endive_node.notices import Notice, NoticeTable
 
 
 class Spreader:
@@ -15,11 +15,13 @@
     learns of them here.
     """
 
-    def __init__(self, gossip: Gossip, board: NoticeBoard, crashes: CrashTable) -> None:
+    def __init__(
+        self, gossip: Gossip, notices: NoticeTable, crashes: CrashTable
+    ) -> None:
         self.gossip = gossip
-        self.board = board
+        self.notices = notices
         self.crashes = crashes
-        board.listeners.append(self.tell_notice)
+        notices.listeners.append(self.tell_notice)
         crashes.listeners.append(self.tell_crash)
         gossip.facts.listeners.append(self.take)
 
@@ -45,6 +47,6 @@
         if fact.kind is FactKind.CRASH:
             self.crashes.add(Crash(fact.subject, fact.origin, now))
         elif fact.kind is FactKind.SERVER_LEAVING:
-            self.board.put(fact.subject, "", fact.until - now)
+            self.notices.put(fact.subject, "", fact.until - now)
         else:
-            self.board.put("", fact.subject, fact.until - now)
+            self.notices.put("", fact.subject, fact.until - now)
--- a/packages/endive_node/tests/test_run_handover.py
+++ b/packages/endive_node/tests/test_run_handover.py
@@ -6,7 +6,7 @@
 from endive_core.members import Member
 from endive_node.handover import Handover, answer_of
 from endive_node.ledger import RequestRecord
-from endive_node.notices import NoticeBoard
+from endive_node.notices import NoticeTable
 from endive_node.settings import NodeSection
 from node_builders import FakeEngines, not_started, request, serving
 from test_serving import error_of
@@ -19,7 +19,7 @@
 
 def handover(path):
     section = NodeSection(id="node-1", zone="brest")
-    return Handover(path, section, OneMember(), NoticeBoard(path.clock))
+    return Handover(path, section, OneMember(), NoticeTable(path.clock))
 
 
 def test_request_whose_record_left_is_not_told_as_not_run():
