--- a/packages/endive_node/src/endive_node/configuration.py
+++ b/packages/endive_node/src/endive_node/configuration.py
@@ -23,10 +23,10 @@
 from endive_node.interfaces import (
     Clock,
     ConfigurationSource,
-    LogForgottenError,
+    LogOffsetOutOfRangeError,
+    LogOutcomeUnknownError,
     LogService,
     LogUnavailableError,
-    LogUncertainError,
 )
 from endive_node.logs import log_event
 from endive_node.snapshots import newest_snapshot
@@ -107,7 +107,7 @@
             self._adopt_from_log(first=0)
         try:
             self.read_once(wait_s=LONG_POLL_S if self.ready.is_set() else 0.0)
-        except LogForgottenError as error:
+        except LogOffsetOutOfRangeError as error:
             self._close_gap(error.first)
 
     def read_once(self, *, wait_s: float = 0.0) -> None:
@@ -262,7 +262,7 @@
                 try:
                     self.log.append(CONFIGURATION_STREAM, [encode(change)])
                     appended = True
-                except LogUncertainError:
+                except LogOutcomeUnknownError:
                     uncertain = True
                 except LogUnavailableError:
                     if not uncertain:
--- a/packages/endive_node/src/endive_node/interfaces.py
+++ b/packages/endive_node/src/endive_node/interfaces.py
@@ -161,7 +161,7 @@
         ...
 
 
-class Elsewhere(Protocol):
+class RequestLocator(Protocol):
     """Finds requests that other nodes hold."""
 
     def find_id(self, organisation: str, request_id: str) -> Any:
@@ -224,11 +224,11 @@
     """The log takes no append just now because of its rate limit."""
 
 
-class LogUncertainError(Exception):
+class LogOutcomeUnknownError(Exception):
     """The log's answer was lost; the append may have taken effect or still may."""
 
 
-class LogForgottenError(Exception):
+class LogOffsetOutOfRangeError(Exception):
     """The offset asked for is older than the log keeps."""
 
     def __init__(self, first: int) -> None:
@@ -261,7 +261,7 @@
         self.final_status = final_status
 
 
-class Paused(BaseException):
+class RunPaused(BaseException):
     """Thrown into the greenlet that drives a request which must stop here.
 
     Like gevent's own time-outs it is no ``Exception``, so that code on the way which
--- a/packages/endive_node/src/endive_node/platform.py
+++ b/packages/endive_node/src/endive_node/platform.py
@@ -9,11 +9,11 @@
 from endive_node.interfaces import (
     READ_LIMIT,
     LogEntry,
-    LogForgottenError,
+    LogOffsetOutOfRangeError,
+    LogOutcomeUnknownError,
     LogPage,
     LogThrottledError,
     LogUnavailableError,
-    LogUncertainError,
 )
 
 CONNECT_ERRORS = (
@@ -65,14 +65,14 @@
         except CONNECT_ERRORS as error:
             raise LogUnavailableError(str(error)) from None
         except (urllib3.exceptions.HTTPError, msgspec.DecodeError) as error:
-            raise LogUncertainError(str(error)) from None
+            raise LogOutcomeUnknownError(str(error)) from None
         if status == 200:
             return body["offset"]
         if status == 429:
             raise LogThrottledError("over the log's rate limit")
         if status == 503:
             raise LogUnavailableError(f"status {status}")
-        raise LogUncertainError(f"status {status}")
+        raise LogOutcomeUnknownError(f"status {status}")
 
     def read(
         self, stream: str, start: int, *, wait_s: float = 0.0, limit: int = READ_LIMIT
@@ -96,7 +96,7 @@
 
 def _page(status: int, body: Any) -> LogPage:
     if status == 410:
-        raise LogForgottenError(body["error"]["first"])
+        raise LogOffsetOutOfRangeError(body["error"]["first"])
     if status != 200:
         raise LogUnavailableError(f"status {status}")
     entries = [LogEntry(r["offset"], r["body"], r["time"]) for r in body["records"]]
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -14,7 +14,7 @@
 from endive_node.backends import EngineServer
 from endive_node.contexts import RunContext
 from endive_node.explaining import cached, ending, predicted
-from endive_node.interfaces import BackendError, Paused
+from endive_node.interfaces import BackendError, RunPaused
 from endive_node.ledger import RequestRecord, read_tokens
 from endive_node.logs import log_event
 from endive_node.moves import Move
@@ -78,7 +78,7 @@
         self.driver = gevent.getcurrent()
         try:
             next(self._steps, None)
-        except Paused:
+        except RunPaused:
             pass
         except EndiveError as error:
             self._fail(error)
@@ -138,7 +138,7 @@
 
     def _interrupt(self) -> None:
         if self.driving and self.held:
-            self.driver.throw(Paused)
+            self.driver.throw(RunPaused)
 
     def wait_for_holder(self, *, sent_before: bool) -> None:
         """Hold a request that another node has not stopped yet."""
@@ -325,7 +325,7 @@
         self.continues = self.claim_continues
         try:
             self.claim = self.context.claims.win(self.record.request, self.continues)
-        except Paused:
+        except RunPaused:
             self.life.fire(Event.UNCLAIM)
             raise
         self.life.fire(Event.WON)
--- a/packages/endive_node/src/endive_node/serving.py
+++ b/packages/endive_node/src/endive_node/serving.py
@@ -13,7 +13,7 @@
 from endive_node.contexts import RunContext
 from endive_node.dispatching import Dispatcher
 from endive_node.explaining import Trails
-from endive_node.interfaces import Claims, Clock, Elsewhere
+from endive_node.interfaces import Claims, Clock, RequestLocator
 from endive_node.ledger import Ledger, RequestRecord
 from endive_node.runs import Run
 from endive_node.settings import LimitsSection
@@ -53,7 +53,7 @@
         self.stopping = False
         self.leaving = False
         self.handing_over = False
-        self.elsewhere: Elsewhere | None = None
+        self.elsewhere: RequestLocator | None = None
 
     def new_request_id(self, organisation: str = "", key: str = "") -> str:
         """Return an id from which any node can work out where the answer is."""
--- a/packages/endive_node/src/endive_node/shards.py
+++ b/packages/endive_node/src/endive_node/shards.py
@@ -10,11 +10,11 @@
 
 from endive_node.interfaces import (
     Clock,
-    LogForgottenError,
+    LogOffsetOutOfRangeError,
+    LogOutcomeUnknownError,
     LogService,
     LogThrottledError,
     LogUnavailableError,
-    LogUncertainError,
 )
 from endive_node.logs import log_event
 from endive_node.settings import ClaimsSection
@@ -119,7 +119,7 @@
             self._refuse(batch, str(error))
             gevent.sleep(RETRY_S)
             return
-        except LogUncertainError as error:
+        except LogOutcomeUnknownError as error:
             # The records may be there, may still come, or never. What the read below
             # does not find is appended again: the first copy decides.
             log_event("claim_append_uncertain", stream=self.stream, error=error)
@@ -147,7 +147,7 @@
         while self.waiting or end == 0:
             try:
                 page = self.log.read(self.stream, self.table.offset + 1)
-            except LogForgottenError as error:
+            except LogOffsetOutOfRangeError as error:
                 self.table.offset = error.first - 1
                 continue
             except LogUnavailableError as error:
--- a/packages/endive_node/src/endive_node/snapshot_writer.py
+++ b/packages/endive_node/src/endive_node/snapshot_writer.py
@@ -10,7 +10,7 @@
 )
 
 from endive_node.configuration import Configuration
-from endive_node.interfaces import LogUnavailableError, LogUncertainError, Members
+from endive_node.interfaces import LogOutcomeUnknownError, LogUnavailableError, Members
 from endive_node.logs import log_event
 from endive_node.settings import ConfigurationSection
 
@@ -83,7 +83,7 @@
             configuration.log.append(SNAPSHOT_STREAM, [encode(snapshot)])
             taken = SnapshotTaken(through=snapshot.through)
             configuration.log.append(CONFIGURATION_STREAM, [encode(taken)])
-        except (LogUnavailableError, LogUncertainError) as error:
+        except (LogUnavailableError, LogOutcomeUnknownError) as error:
             log_event("snapshot_not_written", error=error)
             gevent.sleep(RANK_WAIT_S)
             return
--- a/packages/endive_node/src/endive_node/snapshots.py
+++ b/packages/endive_node/src/endive_node/snapshots.py
@@ -5,7 +5,7 @@
 from endive_core.exceptions import RecordError
 from endive_core.records import SNAPSHOT_STREAM, Snapshot, decode
 
-from endive_node.interfaces import LogForgottenError, LogService
+from endive_node.interfaces import LogOffsetOutOfRangeError, LogService
 from endive_node.logs import log_event
 
 
@@ -21,7 +21,7 @@
     """
     try:
         page = log.read(SNAPSHOT_STREAM, 0, limit=1)
-    except LogForgottenError as error:
+    except LogOffsetOutOfRangeError as error:
         page = log.read(SNAPSHOT_STREAM, error.first, limit=1)
     for offset in range(page.next - 1, page.first - 1, -1):
         snapshot = _snapshot_at(log, offset)
@@ -35,7 +35,7 @@
     try:
         page = log.read(SNAPSHOT_STREAM, offset, limit=1)
         record = decode(page.entries[0].body) if page.entries else None
-    except (LogForgottenError, RecordError) as error:
+    except (LogOffsetOutOfRangeError, RecordError) as error:
         log_event("snapshot_not_read", offset=offset, error=error)
         return None
     return record if isinstance(record, Snapshot) else None
--- a/packages/endive_node/tests/test_configuration.py
+++ b/packages/endive_node/tests/test_configuration.py
@@ -17,7 +17,7 @@
 )
 from endive_node.interfaces import (
     LogEntry,
-    LogForgottenError,
+    LogOffsetOutOfRangeError,
     LogPage,
     LogUnavailableError,
 )
@@ -48,7 +48,7 @@
             raise LogUnavailableError("down")
         records, first = self.streams.get(stream, []), self.first.get(stream, 0)
         if start < first:
-            raise LogForgottenError(first)
+            raise LogOffsetOutOfRangeError(first)
         page = enumerate(records[start : start + limit], start)
         return LogPage(first, len(records), [LogEntry(o, r) for o, r in page])
 
