--- a/benchmarks/bench_claims.py
+++ b/benchmarks/bench_claims.py
@@ -132,7 +132,7 @@
         )
         began = time.monotonic()
         try:
-            nodes[number % NODES].win(request).use()
+            nodes[number % NODES].acquire(request).use()
             waits.append(time.monotonic() - began)
         except EndiveError:
             refused.append(number)
--- a/packages/endive_node/src/endive_node/claiming.py
+++ b/packages/endive_node/src/endive_node/claiming.py
@@ -100,8 +100,8 @@
                 f"{self.settings.window_s:.0f} s",
             )
 
-    def win(self, request: Request, continues: int = 0) -> Claimant:
-        """See :meth:`endive_node.interfaces.Claims.win`."""
+    def acquire(self, request: Request, continues: int = 0) -> Claimant:
+        """See :meth:`endive_node.interfaces.Claims.acquire`."""
         started = self.clock.now()
         deadline = started + self.settings.timeout_s
         if request.deadline is not None:
@@ -144,14 +144,14 @@
         except BaseException:
             # Also when the request is paused for a handover: whatever the log holds
             # of this claim, or will hold, it must never be used.
-            self.give_up(claimant)
+            self.withdraw(claimant)
             raise
         release = claimant.settle(outcome)
         if release is not None:
             self._spawn_release(release)
         return claimant
 
-    def give_up(self, claimant: Claimant) -> None:
+    def withdraw(self, claimant: Claimant) -> None:
         """Withdraw a claim that was not used, and free its key for the next try."""
         if claimant.state not in (ClaimState.PENDING, ClaimState.HELD):
             return
--- a/packages/endive_node/src/endive_node/interfaces.py
+++ b/packages/endive_node/src/endive_node/interfaces.py
@@ -186,7 +186,7 @@
         """
         ...
 
-    def win(self, request: Request, continues: int = 0) -> Claimant:
+    def acquire(self, request: Request, continues: int = 0) -> Claimant:
         """Return a held claim once this node alone may send `request`.
 
         Parameters
@@ -203,7 +203,7 @@
         """
         ...
 
-    def give_up(self, claimant: Claimant) -> None:
+    def withdraw(self, claimant: Claimant) -> None:
         """Withdraw a claim under which nothing was sent; free its key."""
         ...
 
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -324,7 +324,9 @@
         self.life.fire(Event.CLAIM)
         self.continues = self.claim_continues
         try:
-            self.claim = self.context.claims.win(self.record.request, self.continues)
+            self.claim = self.context.claims.acquire(
+                self.record.request, self.continues
+            )
         except RunPaused:
             self.life.fire(Event.UNCLAIM)
             raise
@@ -344,7 +346,7 @@
     def _give_up_claim(self) -> None:
         """Free the key if nothing was sent; called once the chart rules that out."""
         if self.claim is not None:
-            self.context.claims.give_up(self.claim)
+            self.context.claims.withdraw(self.claim)
 
     def _attempt(self, server: ServerView) -> Iterator[None]:
         self._use_claim()
--- a/packages/endive_node/tests/node_builders.py
+++ b/packages/endive_node/tests/node_builders.py
@@ -62,18 +62,18 @@
             raise BackendError("lost", started=True, reason=RetryReason.SERVER_FAILED)
 
 
-class AnyClaims:
+class AlwaysWonClaims:
     """Claims that are always won."""
 
     def check_age(self, request):
         pass
 
-    def win(self, request, continues=0):
+    def acquire(self, request, continues=0):
         claimant = Claimant(Claim("c", request.key, "node-1", request.request_id))
         claimant.settle(ClaimOutcome("c", ClaimVerdict.WON))
         return claimant
 
-    def give_up(self, claimant):
+    def withdraw(self, claimant):
         pass
 
 
@@ -112,7 +112,7 @@
         limits=settings,
         metrics=metrics,
         clock=clock,
-        claims=claims or AnyClaims(),
+        claims=claims or AlwaysWonClaims(),
     )
 
 
