--- a/packages/endive_node/src/endive_node/attempts.py
+++ b/packages/endive_node/src/endive_node/attempts.py
@@ -98,7 +98,7 @@
         for piece in pieces:
             reason = record.classify(piece)
             if reason:
-                self.run.context.metrics.dropped(reason)
+                self.run.context.metrics.count_drop(reason)
                 if reason == REORDERED:
                     record.keep_early(piece)
             else:
--- a/packages/endive_node/src/endive_node/dispatching.py
+++ b/packages/endive_node/src/endive_node/dispatching.py
@@ -193,7 +193,7 @@
         self.pump(scheduler)
         if isinstance(verdict, Refusal):
             raise refusal_error(verdict, f"{verdict.message}; the last: {error}")
-        self.metrics.retried(error.reason)
+        self.metrics.count_retry(error.reason)
         self.queue_again(ticket, verdict.delay_s)
 
     def plan_moves(
@@ -208,7 +208,7 @@
         scheduler = self.owners[ticket]
         self.waiting[ticket] = AsyncResult()
         scheduler.moved(ticket, self.clock.now(), tokens=tokens)
-        self.metrics.retried(RetryReason.SERVER_LEAVING)
+        self.metrics.count_retry(RetryReason.SERVER_LEAVING)
         self.pump(scheduler)
 
     def _crash(self, ticket: Ticket, error: BackendError) -> str:
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -258,7 +258,7 @@
     def _end_in(self, error: EndiveError) -> None:
         self.record.error = error
         self.trail.note(ending(error))
-        self.context.metrics.refused(error.kind)
+        self.context.metrics.count_refusal(error.kind)
         self._ended(outcome=error.kind)
         self.record.wake()
 
--- a/packages/endive_node/src/endive_node/serving.py
+++ b/packages/endive_node/src/endive_node/serving.py
@@ -73,7 +73,7 @@
         try:
             return self._accept(request)
         except EndiveError as error:
-            self.metrics.refused(error.kind)
+            self.metrics.count_refusal(error.kind)
             self.trails.refused(request, error)
             error.request_id = request.request_id
             raise
--- a/packages/endive_node/src/endive_node/telemetry.py
+++ b/packages/endive_node/src/endive_node/telemetry.py
@@ -90,18 +90,18 @@
             name, [lambda _options: [Observation(read())]], description=description
         )
 
-    def refused(self, kind: ErrorKind) -> None:
+    def count_refusal(self, kind: ErrorKind) -> None:
         """Count a refusal."""
         self.refused_counts[kind] += 1
         if kind in self.refusals:
             self.refusals[kind].add(1)
 
-    def retried(self, reason: RetryReason) -> None:
+    def count_retry(self, reason: RetryReason) -> None:
         """Count a further attempt."""
         self.retried_counts[reason] += 1
         self.retries[reason].add(1)
 
-    def dropped(self, reason: str) -> None:
+    def count_drop(self, reason: str) -> None:
         """Count a piece that was not shown to a caller."""
         self.drops[reason].add(1)
 
--- a/packages/endive_node/tests/test_telemetry.py
+++ b/packages/endive_node/tests/test_telemetry.py
@@ -14,7 +14,7 @@
 def test_refusals_of_two_nodes_in_one_process_are_counted_apart():
     first, second = Metrics(), Metrics()
     kind = next(iter(REFUSAL_KINDS))
-    first.refused(kind)
+    first.count_refusal(kind)
     assert f"endive_refused_{kind}_total 1.0" in first.page().decode()
     assert f"endive_refused_{kind}_total 0.0" in second.page().decode()
 
