--- a/packages/endive_node/src/endive_node/__init__.py
+++ b/packages/endive_node/src/endive_node/__init__.py
@@ -4,11 +4,12 @@
 
 - the whole: ``node``, ``settings``, ``interfaces``, ``contexts``, ``cli``, ``embedded``
 - callers' side: ``callers``, ``serving``, ``runs``, ``ledger``, ``watching``
-- servers' side: ``attempts``, ``backends``, ``dispatching``, ``waiters``, ``observing``
+- servers' side: ``attempts``, ``backends``, ``dispatching``, ``waiters``,
+  ``server_polling``
 - requests that move: ``moves``, ``moving``, ``handover``, ``takeover``, ``locating``
 - operators: ``operators``, ``reporting``, ``explaining``
 - what the platform says: ``platform``, ``configuration``, ``snapshots``,
   ``snapshot_writer``, ``claiming``, ``shards``, ``notices``
-- between nodes: ``gossip``, ``peers``, ``spreading``
+- between nodes: ``gossip``, ``peers``, ``fact_exchange``
 - plumbing: ``listeners``, ``sockets``, ``logs``, ``telemetry``
 """
--- a/packages/endive_node/src/endive_node/spreading.py
+++ b/packages/endive_node/src/endive_node/fact_exchange.py
@@ -7,7 +7,7 @@
 from endive_node.notices import Notice, NoticeTable
 
 
-class Spreader:
+class FactExchange:
     """Tells all nodes of the notices and crashes that this one noticed.
 
     Callers meet it when a request that crashed servers under two nodes is refused by a
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -9,6 +9,7 @@
 from endive_node.claiming import LogClaims
 from endive_node.configuration import Configuration
 from endive_node.dispatching import Dispatcher
+from endive_node.fact_exchange import FactExchange
 from endive_node.gossip import Gossip
 from endive_node.handover import Handover
 from endive_node.listeners import HttpListener
@@ -16,14 +17,13 @@
 from endive_node.logs import log_event
 from endive_node.moving import Mover
 from endive_node.notices import NoticeTable, NoticeWatcher
-from endive_node.observing import Observer
 from endive_node.operators import OperatorApi
 from endive_node.peers import PeerConfigurations, PeerHandler, PeerListener
 from endive_node.platform import HttpCloud, HttpInstanceList, HttpLog
+from endive_node.server_polling import ServerPoller
 from endive_node.serving import Serving
 from endive_node.settings import Settings
 from endive_node.snapshot_writer import SnapshotWriter
-from endive_node.spreading import Spreader
 from endive_node.telemetry import Metrics, MonotonicClock
 
 DRAIN_POLL_S = 0.05
@@ -56,7 +56,7 @@
         )
         self.configuration.listeners.append(lambda _: self.dispatcher.refresh())
         self._make_gossip()
-        self.observer = Observer(
+        self.server_poller = ServerPoller(
             self.dispatcher,
             self.clients,
             settings.backends,
@@ -101,7 +101,9 @@
         self.handover = Handover(
             self.serving, settings.node, self.members, self.notices
         )
-        self.spreader = Spreader(self.gossip, self.notices, self.dispatcher.crashes)
+        self.fact_exchange = FactExchange(
+            self.gossip, self.notices, self.dispatcher.crashes
+        )
         self.mover = Mover(self.serving, self.dispatcher, self.notices)
         self.configuration.listeners.append(lambda _: self.mover.mark())
         self.serving.elsewhere = Locator(
@@ -178,7 +180,7 @@
             self.join,
             self.serving.expire,
             self.dispatcher.pump_often,
-            self.observer.follow,
+            self.server_poller.follow,
             self.notice_watcher.watch_notices,
             self.notice_watcher.watch_list,
         )
--- a/packages/endive_node/src/endive_node/observing.py
+++ b/packages/endive_node/src/endive_node/server_polling.py
@@ -33,7 +33,7 @@
 still stand, and calls that fail show whether the server is there."""
 
 
-class Observer:
+class ServerPoller:
     """Follows load and cache of all servers.
 
     Operators meet it through the settings that bound it: with many servers each one's
