--- a/packages/endive_node/src/endive_node/__init__.py
+++ b/packages/endive_node/src/endive_node/__init__.py
@@ -7,7 +7,7 @@
 - servers' side: ``attempts``, ``backends``, ``dispatching``, ``waiters``,
   ``server_polling``
 - requests that move: ``moves``, ``moving``, ``handover``, ``takeover``, ``locating``
-- operators: ``operators``, ``reporting``, ``explaining``
+- operators: ``operators``, ``reporting``, ``request_traces``
 - what the platform says: ``platform``, ``configuration``, ``snapshots``,
   ``snapshot_writer``, ``claiming``, ``shards``, ``notices``
 - between nodes: ``gossip``, ``peers``, ``fact_exchange``
--- a/packages/endive_node/src/endive_node/attempts.py
+++ b/packages/endive_node/src/endive_node/attempts.py
@@ -10,9 +10,9 @@
 
 from endive_node.backends import EngineServer
 from endive_node.contexts import RunContext
-from endive_node.explaining import Trail
 from endive_node.interfaces import BackendError
 from endive_node.ledger import REORDERED, RequestRecord
+from endive_node.request_traces import RequestTrace
 
 CANCELLED = "cancelled"
 """The reason with which an engine ends a sequence that it was told to stop."""
@@ -33,7 +33,7 @@
     record: RequestRecord
     ticket: Ticket
     life: Lifecycle
-    trail: Trail
+    trace: RequestTrace
     backend: EngineServer | None
     blob: dict | None
 
@@ -108,7 +108,7 @@
             self.run.life.fire(Event.FIRST_PIECE)
             self.run.context.dispatcher.started(self.run.ticket)
         if taken and record.first_token_at is None:
-            self.run.trail.note("first token")
+            self.run.trace.note("first token")
             record.first_token_at = self.run.context.clock.now()
             self.run.context.metrics.first_token.record(
                 record.first_token_at - record.accepted_at
--- a/packages/endive_node/src/endive_node/contexts.py
+++ b/packages/endive_node/src/endive_node/contexts.py
@@ -4,8 +4,8 @@
 
 from endive_node.backends import BackendClients
 from endive_node.dispatching import Dispatcher
-from endive_node.explaining import Trails
 from endive_node.interfaces import Claims, Clock
+from endive_node.request_traces import TraceStore
 from endive_node.telemetry import Metrics
 
 
@@ -19,4 +19,4 @@
     metrics: Metrics
     clock: Clock
     claims: Claims
-    trails: Trails
+    traces: TraceStore
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -121,7 +121,7 @@
         handler = PeerHandler(
             section.id,
             self.configuration,
-            self.serving.trails,
+            self.serving.traces,
             self.handover,
             self.claims,
         )
--- a/packages/endive_node/src/endive_node/peers.py
+++ b/packages/endive_node/src/endive_node/peers.py
@@ -16,8 +16,8 @@
 from thriftpy2.transport import TBufferedTransportFactory, TSocket, TTransportException
 
 from endive_node.configuration import Configuration
-from endive_node.explaining import Trails
 from endive_node.logs import log_event
+from endive_node.request_traces import TraceStore
 from endive_node.sockets import listen_tcp
 
 IDL = thriftpy2.load(
@@ -44,13 +44,13 @@
         self,
         node_id: str,
         configuration: Configuration,
-        trails: Trails,
+        traces: TraceStore,
         handover: "RequestTaker | None" = None,
         claims: "ClaimTaker | None" = None,
     ) -> None:
         self.node_id = node_id
         self.configuration = configuration
-        self.trails = trails
+        self.traces = traces
         if handover is not None:
             self.take_requests = handover.take_requests
             self.take_answers = handover.take_answers
@@ -72,7 +72,7 @@
     def explain_request(self, request_id: str) -> str:
         """Return the notes of a request, as JSON."""
         try:
-            shown = self.trails.get(request_id).shown(self.node_id)
+            shown = self.traces.get(request_id).to_dict(self.node_id)
         except EndiveError as error:
             raise IDL.PeerError(kind=str(error.kind), message=error.message) from None
         return msgspec.json.encode(shown).decode()
--- a/packages/endive_node/src/endive_node/explaining.py
+++ b/packages/endive_node/src/endive_node/request_traces.py
@@ -19,7 +19,7 @@
 
 
 @dataclass
-class Trail:
+class RequestTrace:
     """All notes of one request.
 
     Attributes
@@ -40,7 +40,7 @@
         """Add a note; a few for each request, never one for each token."""
         self.notes.append(Note(self.clock.now(), text))
 
-    def shown(self, node_id: str) -> dict:
+    def to_dict(self, node_id: str) -> dict:
         """Return the trail as operators read it."""
         start = self.notes[0].at if self.notes else 0.0
         return {
@@ -57,7 +57,7 @@
         }
 
 
-class Trails:
+class TraceStore:
     """The trails of the latest requests of a node, refused ones among them.
 
     Operators meet it as ``endivectl explain``. The number is bounded, and so is the
@@ -67,28 +67,28 @@
     def __init__(self, clock: Clock, max_trails: int) -> None:
         self.clock = clock
         self.max_trails = max_trails
-        self.by_id: OrderedDict[str, Trail] = OrderedDict()
+        self.by_id: OrderedDict[str, RequestTrace] = OrderedDict()
 
-    def begin(self, request: Request) -> Trail:
+    def begin(self, request: Request) -> RequestTrace:
         """Return the trail of `request`, new if it has none yet."""
-        trail = self.by_id.get(request.request_id)
-        if trail is None:
-            trail = Trail(
+        trace = self.by_id.get(request.request_id)
+        if trace is None:
+            trace = RequestTrace(
                 request.request_id, request.organisation, request.model, self.clock
             )
-            self.by_id[request.request_id] = trail
+            self.by_id[request.request_id] = trace
             if len(self.by_id) > self.max_trails:
                 self.by_id.popitem(last=False)
-        return trail
+        return trace
 
     def refused(self, request: Request, error: EndiveError) -> None:
         """Note a request that was refused before it was accepted."""
-        trail = self.begin(request)
-        trail.state = "refused"
-        trail.executed = str(error.executed)
-        trail.note(ending(error))
+        trace = self.begin(request)
+        trace.state = "refused"
+        trace.executed = str(error.executed)
+        trace.note(ending(error))
 
-    def get(self, request_id: str) -> Trail:
+    def get(self, request_id: str) -> RequestTrace:
         """Return the trail of a request.
 
         Raises
@@ -96,13 +96,13 @@
         EndiveError
             ``unknown_request`` if it never came here, or too long ago.
         """
-        trail = self.by_id.get(request_id)
-        if trail is None:
+        trace = self.by_id.get(request_id)
+        if trace is None:
             raise EndiveError(
                 ErrorKind.UNKNOWN_REQUEST,
                 f"no notes of {request_id!r}: never seen here, or too long ago",
             )
-        return trail
+        return trace
 
 
 def ending(error: EndiveError) -> str:
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -13,11 +13,11 @@
 from endive_node.attempts import RunAttempt
 from endive_node.backends import EngineServer
 from endive_node.contexts import RunContext
-from endive_node.explaining import cached, ending, predicted
 from endive_node.interfaces import BackendError, RunPaused
 from endive_node.ledger import RequestRecord, read_tokens
 from endive_node.logs import log_event
 from endive_node.moves import Move
+from endive_node.request_traces import cached, ending, predicted
 
 
 class Run:
@@ -35,8 +35,8 @@
         self.record = record
         self.ticket = ticket
         self.life = Lifecycle(record.request.non_idempotent)
-        self.trail = context.trails.begin(record.request)
-        self.trail.note(f"accepted by {context.node_id}{predicted(ticket)}")
+        self.trace = context.traces.begin(record.request)
+        self.trace.note(f"accepted by {context.node_id}{predicted(ticket)}")
         self.claim: Claimant | None = None
         self.backend: EngineServer | None = None
         self.server: ServerView | None = None
@@ -257,7 +257,7 @@
 
     def _end_in(self, error: EndiveError) -> None:
         self.record.error = error
-        self.trail.note(ending(error))
+        self.trace.note(ending(error))
         self.context.metrics.count_refusal(error.kind)
         self._ended(outcome=error.kind)
         self.record.wake()
@@ -281,8 +281,8 @@
     def _ended(self, *, outcome: str) -> None:
         record = self.record
         record.finished_at = self.context.clock.now()
-        self.trail.state = str(self.life.state)
-        self.trail.executed = str(self.life.executed)
+        self.trace.state = str(self.life.state)
+        self.trace.executed = str(self.life.executed)
         self._give_up_ticket()
         self.context.metrics.finished.add(1)
         log_event(
@@ -356,11 +356,11 @@
         record.servers.append(server.id)
         self.server = server
         begun = f"attempt {record.attempt + 1} at {server.id} in {server.zone}"
-        self.trail.note(f"{begun} from token {len(record.tokens)}{cached(self.ticket)}")
+        self.trace.note(f"{begun} from token {len(record.tokens)}{cached(self.ticket)}")
         yield from RunAttempt(self, server).steps()
         self.life.fire(Event.COMPLETE)
         tokens = len(record.tokens)
-        self.trail.note(f"whole, {tokens} tokens")
+        self.trace.note(f"whole, {tokens} tokens")
         self.context.dispatcher.finished(self.ticket, tokens or 1)
         self._ended(outcome="ok")
 
@@ -380,7 +380,7 @@
             self._not_started()
         self.record.extend(move.tokens)
         self.blob = move.blob
-        self.trail.note(
+        self.trace.note(
             f"stopped at {self.record.servers[-1]} for a move, with "
             f"{len(move.tokens)} tokens{' and the KV cache' if move.blob else ''}"
         )
@@ -389,7 +389,7 @@
 
     def _decide_retry(self, error: BackendError) -> None:
         """Return if another attempt is allowed; otherwise raise the final answer."""
-        self.trail.note(
+        self.trace.note(
             f"attempt {self.record.attempt + 1} failed: {error.reason}: {error}"
         )
         if not error.started:
--- a/packages/endive_node/src/endive_node/serving.py
+++ b/packages/endive_node/src/endive_node/serving.py
@@ -12,9 +12,9 @@
 from endive_node.backends import BackendClients
 from endive_node.contexts import RunContext
 from endive_node.dispatching import Dispatcher
-from endive_node.explaining import Trails
 from endive_node.interfaces import Claims, Clock, RequestLocator
 from endive_node.ledger import Ledger, RequestRecord
+from endive_node.request_traces import TraceStore
 from endive_node.runs import Run
 from endive_node.settings import LimitsSection
 from endive_node.telemetry import Metrics
@@ -46,9 +46,9 @@
         self.metrics = metrics
         self.clock = clock
         self.ledger = Ledger(limits.keep_finished_s)
-        self.trails = Trails(clock, limits.explained_requests)
+        self.traces = TraceStore(clock, limits.explained_requests)
         self.context = RunContext(
-            node_id, dispatcher, clients, metrics, clock, claims, self.trails
+            node_id, dispatcher, clients, metrics, clock, claims, self.traces
         )
         self.stopping = False
         self.leaving = False
@@ -74,7 +74,7 @@
             return self._accept(request)
         except EndiveError as error:
             self.metrics.count_refusal(error.kind)
-            self.trails.refused(request, error)
+            self.traces.refused(request, error)
             error.request_id = request.request_id
             raise
 
