--- a/packages/endive_node/src/endive_node/__init__.py
+++ b/packages/endive_node/src/endive_node/__init__.py
@@ -3,7 +3,7 @@
 Its modules, by their work:
 
 - the whole: ``node``, ``settings``, ``interfaces``, ``contexts``, ``cli``, ``embedded``
-- callers' side: ``callers``, ``serving``, ``runs``, ``ledger``, ``watching``
+- callers' side: ``callers``, ``serving``, ``runs``, ``request_registry``, ``watching``
 - servers' side: ``attempts``, ``backends``, ``dispatching``, ``waiters``,
   ``server_polling``
 - requests that move: ``moves``, ``moving``, ``handover``, ``takeover``, ``locating``
--- a/packages/endive_node/src/endive_node/attempts.py
+++ b/packages/endive_node/src/endive_node/attempts.py
@@ -11,7 +11,7 @@
 from endive_node.backends import EngineServer
 from endive_node.contexts import RunContext
 from endive_node.interfaces import BackendError
-from endive_node.ledger import REORDERED, RequestRecord
+from endive_node.request_registry import REORDERED, RequestRecord
 from endive_node.request_traces import RequestTrace
 
 CANCELLED = "cancelled"
--- a/packages/endive_node/src/endive_node/callers.py
+++ b/packages/endive_node/src/endive_node/callers.py
@@ -11,8 +11,8 @@
 from endive_core.exceptions import EndiveError, ErrorKind
 from endive_core.messages import Endpoint, Request
 
-from endive_node.ledger import RequestRecord
 from endive_node.logs import log_event
+from endive_node.request_registry import RequestRecord
 from endive_node.runs import Run
 from endive_node.serving import Serving
 
@@ -88,7 +88,7 @@
             return self._refuse(error, request_id=request_id)
 
     def _run_of(self, organisation: str, request_id: str):
-        run = self.serving.ledger.get(request_id)
+        run = self.serving.registry.get(request_id)
         if run is not None and run.record.request.organisation != organisation:
             run = None
         elif (run is None or run.moved) and self.serving.elsewhere is not None:
--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -98,7 +98,7 @@
         started_at = clock.now()
         self.serving.leaving = self.serving.stopping = True
         self.members.leave()
-        count = len(self.serving.ledger.unfinished())
+        count = len(self.serving.registry.unfinished())
         log_event("handover_started", in_flight=count)
         round_ = Round(self, notice)
         until = notice.ends_at + ROUNDS_AFTER_NOTICE_S
@@ -127,10 +127,10 @@
         self, organisation: str, request_id: str, key: str, start: int, wait_s: float
     ):
         """Return a page of an answer that this node holds, or who holds it."""
-        ledger = self.serving.ledger
-        run = ledger.get(request_id) if request_id else None
+        registry = self.serving.registry
+        run = registry.get(request_id) if request_id else None
         if run is None and key:
-            run = ledger.by_idempotency_key(organisation, key)
+            run = registry.by_idempotency_key(organisation, key)
         if run is None or run.record.request.organisation != organisation:
             return IDL.AnswerPage(known=False, moved_to="")
         if run.moved:
@@ -163,7 +163,7 @@
 
     def left(self) -> list[Run]:
         """Return the runs that this node still owns."""
-        return [r for r in self.handover.serving.ledger.unfinished() if not r.moved]
+        return [r for r in self.handover.serving.registry.unfinished() if not r.moved]
 
     def unsettled(self) -> bool:
         """Return whether anything is left to give away or to tell a target."""
@@ -265,10 +265,10 @@
         The longest answers go first: a request that isn't told of before the kill
         starts again from nothing, which costs nothing for one that still waits.
         """
-        ledger = self.handover.serving.ledger
+        registry = self.handover.serving.registry
         groups: dict[str, list[Run]] = {}
         for request_id, address in list(self.acknowledged.items()):
-            run = ledger.get(request_id)
+            run = registry.get(request_id)
             if run is None or run.moved:
                 del self.acknowledged[request_id]
             elif self._may_stop(run):
--- a/packages/endive_node/src/endive_node/locating.py
+++ b/packages/endive_node/src/endive_node/locating.py
@@ -16,9 +16,9 @@
 
 from endive_node.backends import PlainAnswer
 from endive_node.interfaces import Clock, Members
-from endive_node.ledger import RequestRecord, read_tokens
 from endive_node.notices import NoticeTable
 from endive_node.peers import IDL, PeerClient, PeerConnection, PeerUnavailableError
+from endive_node.request_registry import RequestRecord, read_tokens
 
 LOOKUP_TIMEOUT_S = 0.5
 """A lookup asks nodes that may be dead; a live one answers in milliseconds."""
--- a/packages/endive_node/src/endive_node/moving.py
+++ b/packages/endive_node/src/endive_node/moving.py
@@ -67,7 +67,7 @@
         left_s = notice.ends_at - self.serving.clock.now()
         runs = {
             run.ticket: run
-            for run in self.serving.ledger.unfinished()
+            for run in self.serving.registry.unfinished()
             if at(run, server)
         }
         for ticket, run in runs.items():
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -215,7 +215,7 @@
         self.members.leave()
         gevent.sleep(self.settings.node.drain_settle_s)
         self.serving.stopping = True
-        log_event("node_draining", in_flight=len(self.serving.ledger.unfinished()))
+        log_event("node_draining", in_flight=len(self.serving.registry.unfinished()))
         deadline = self.clock.now() + MAX_DRAIN_S
         while self._busy() and self.clock.now() < deadline:
             gevent.sleep(DRAIN_POLL_S)
@@ -223,7 +223,7 @@
 
     def _busy(self) -> bool:
         """Return whether an answer is under way, to a caller or from a server."""
-        return bool(self.serving.ledger.unfinished() or self.callers.calls)
+        return bool(self.serving.registry.unfinished() or self.callers.calls)
 
     def stop(self) -> None:
         """Stop at once what still runs."""
--- a/packages/endive_node/src/endive_node/reporting.py
+++ b/packages/endive_node/src/endive_node/reporting.py
@@ -75,7 +75,7 @@
             "stopping": node.serving.stopping,
             "configuration": self.configuration(),
             "nodes": [shown_member(member) for member in node.members.live()],
-            "in_flight": len(node.serving.ledger.unfinished()),
+            "in_flight": len(node.serving.registry.unfinished()),
             "zones_under_notice": sorted(node.notices.zones()),
             "queues": self.queues(),
             "servers": self.servers(),
--- a/packages/endive_node/src/endive_node/ledger.py
+++ b/packages/endive_node/src/endive_node/request_registry.py
@@ -103,7 +103,7 @@
         self.progressed.clear()
 
 
-class Ledger:
+class RequestRegistry:
     """All requests of this node by id, and by idempotency key.
 
     Callers meet it when they resume an answer, or send a request again with its key
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -14,9 +14,9 @@
 from endive_node.backends import EngineServer
 from endive_node.contexts import RunContext
 from endive_node.interfaces import BackendError, RunPaused
-from endive_node.ledger import RequestRecord, read_tokens
 from endive_node.logs import log_event
 from endive_node.moves import Move
+from endive_node.request_registry import RequestRecord, read_tokens
 from endive_node.request_traces import cached, ending, predicted
 
 
--- a/packages/endive_node/src/endive_node/serving.py
+++ b/packages/endive_node/src/endive_node/serving.py
@@ -13,7 +13,7 @@
 from endive_node.contexts import RunContext
 from endive_node.dispatching import Dispatcher
 from endive_node.interfaces import Claims, Clock, RequestLocator
-from endive_node.ledger import Ledger, RequestRecord
+from endive_node.request_registry import RequestRecord, RequestRegistry
 from endive_node.request_traces import TraceStore
 from endive_node.runs import Run
 from endive_node.settings import LimitsSection
@@ -45,7 +45,7 @@
         self.limits = limits
         self.metrics = metrics
         self.clock = clock
-        self.ledger = Ledger(limits.keep_finished_s)
+        self.registry = RequestRegistry(limits.keep_finished_s)
         self.traces = TraceStore(clock, limits.explained_requests)
         self.context = RunContext(
             node_id, dispatcher, clients, metrics, clock, claims, self.traces
@@ -96,14 +96,14 @@
             self.context.claims.check_age(request)
         ticket = self.dispatcher.admit(request)
         run = Run(self.context, RequestRecord(request, self.clock.now()), ticket)
-        self.ledger.add(run)
+        self.registry.add(run)
         self.metrics.accepted.add(1)
         return run
 
     def _joined(self, request: Request) -> "Run | None":
         if not request.key:
             return None
-        run = self.ledger.by_idempotency_key(request.organisation, request.key)
+        run = self.registry.by_idempotency_key(request.organisation, request.key)
         moved = run is not None and run.moved
         if self.elsewhere is not None and (run is None or moved):
             run = self.elsewhere.find_key(request.organisation, request.key)
@@ -117,18 +117,18 @@
             )
         return None if run.not_run else run
 
-    def adopt(self, record: RequestRecord, *, sent_before: bool) -> "Run":
+    def add_transferred(self, record: RequestRecord, *, sent_before: bool) -> "Run":
         """Enter a request of another node, which may still be running it there.
 
         Until it is told to go on, it only waits for the other's answer.
         """
         run = Run(self.context, record, None)
         run.wait_for_holder(sent_before=sent_before)
-        self.ledger.add(run)
+        self.registry.add(run)
         return run
 
     def expire(self) -> None:
         """Forget finished answers for ever; the body of a greenlet."""
         while True:
             gevent.sleep(EXPIRE_EVERY_S)
-            self.ledger.expire(self.clock.now())
+            self.registry.expire(self.clock.now())
--- a/packages/endive_node/src/endive_node/takeover.py
+++ b/packages/endive_node/src/endive_node/takeover.py
@@ -6,9 +6,9 @@
 from endive_core.handover import AnswerTransfer, RequestTransfer, request_of
 
 from endive_node.backends import PlainAnswer
-from endive_node.ledger import RequestRecord
 from endive_node.logs import log_event
 from endive_node.peers import IDL
+from endive_node.request_registry import RequestRecord
 from endive_node.runs import Run
 from endive_node.serving import Serving
 
@@ -33,8 +33,8 @@
         return held
 
     def _hold(self, transfer: RequestTransfer) -> None:
-        ledger, clock = self.serving.ledger, self.serving.clock
-        known = ledger.get(transfer.head.request_id)
+        registry, clock = self.serving.registry, self.serving.clock
+        known = registry.get(transfer.head.request_id)
         if known is not None and not known.moved:
             return
         now = clock.now()
@@ -45,7 +45,7 @@
             now - transfer.age_s,
             attempt=transfer.attempt,
         )
-        run = self.serving.adopt(record, sent_before=transfer.dispatched)
+        run = self.serving.add_transferred(record, sent_before=transfer.dispatched)
         self.taken.add(1)
         if transfer.stopped:
             run.go_on(in_background=True)
@@ -74,7 +74,7 @@
         taken = []
         for data in encoded:
             transfer = msgspec.msgpack.decode(data, type=AnswerTransfer)
-            run = self.serving.ledger.get(transfer.request_id)
+            run = self.serving.registry.get(transfer.request_id)
             if run is not None and not run.moved:
                 self._continue(run, transfer)
                 taken.append(transfer.request_id)
--- a/packages/endive_node/tests/test_ledger.py
+++ b/packages/endive_node/tests/test_request_registry.py
@@ -1,6 +1,6 @@
 import pytest
 from endive_core.messages import Endpoint, Piece, Request
-from endive_node.ledger import RequestRecord
+from endive_node.request_registry import RequestRecord
 
 
 @pytest.fixture
--- a/packages/endive_node/tests/test_run_handover.py
+++ b/packages/endive_node/tests/test_run_handover.py
@@ -5,8 +5,8 @@
 from endive_core.lifecycle import Event
 from endive_core.members import Member
 from endive_node.handover import Handover, answer_of
-from endive_node.ledger import RequestRecord
 from endive_node.notices import NoticeTable
+from endive_node.request_registry import RequestRecord
 from endive_node.settings import NodeSection
 from node_builders import FakeEngines, not_started, request, serving
 from test_serving import error_of
@@ -36,7 +36,7 @@
     """The record left before its sender sent the request to a server, and then the
     sender was killed. The receiver finds no server; the request may have run."""
     path = serving(FakeEngines(not_started()), servers=1)
-    run = path.adopt(RequestRecord(request(path), 0.0), sent_before=False)
+    run = path.add_transferred(RequestRecord(request(path), 0.0), sent_before=False)
     handover(path).takeover.sender_gone(run)
     assert error_of(run).executed is Executed.UNKNOWN
 
@@ -64,6 +64,8 @@
     sent = answer_of(run)
     assert (sent.continues, sent.dispatched) == (1, True)
     receiver = serving(FakeEngines(None))
-    taken = receiver.adopt(RequestRecord(request(receiver), 0.0), sent_before=False)
+    taken = receiver.add_transferred(
+        RequestRecord(request(receiver), 0.0), sent_before=False
+    )
     handover(receiver).takeover._continue(taken, sent)
     assert taken.claim_continues == 1
