--- a/packages/endive_node/src/endive_node/__init__.py
+++ b/packages/endive_node/src/endive_node/__init__.py
@@ -6,7 +6,8 @@
 - callers' side: ``callers``, ``serving``, ``runs``, ``request_registry``, ``watching``
 - servers' side: ``attempts``, ``backends``, ``dispatching``, ``waiters``,
   ``server_polling``
-- requests that move: ``moves``, ``moving``, ``handover``, ``takeover``, ``locating``
+- requests that move: ``moves``, ``moving``, ``handover``, ``takeover``,
+  ``request_lookup``
 - operators: ``operators``, ``reporting``, ``request_traces``
 - what the platform says: ``platform``, ``configuration``, ``snapshots``,
   ``snapshot_writer``, ``claiming``, ``shards``, ``notices``
--- a/packages/endive_node/src/endive_node/callers.py
+++ b/packages/endive_node/src/endive_node/callers.py
@@ -91,8 +91,8 @@
         run = self.serving.registry.get(request_id)
         if run is not None and run.record.request.organisation != organisation:
             run = None
-        elif (run is None or run.moved) and self.serving.elsewhere is not None:
-            run = self.serving.elsewhere.find_id(organisation, request_id)
+        elif (run is None or run.moved) and self.serving.request_locator is not None:
+            run = self.serving.request_locator.find_id(organisation, request_id)
         if run is None:
             raise EndiveError(
                 ErrorKind.UNKNOWN_REQUEST, "no node that was asked knows the request"
--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -17,7 +17,6 @@
 from endive_core.messages import Endpoint
 
 from endive_node.interfaces import Members
-from endive_node.locating import page_of
 from endive_node.logs import log_event
 from endive_node.notices import Notice, NoticeTable
 from endive_node.peers import (
@@ -26,6 +25,7 @@
     PeerUnavailableError,
     PeerUnreachableError,
 )
+from endive_node.request_lookup import answer_page
 from endive_node.runs import Run
 from endive_node.serving import Serving
 from endive_node.settings import NodeSection
@@ -134,12 +134,12 @@
         if run is None or run.record.request.organisation != organisation:
             return IDL.AnswerPage(known=False, moved_to="")
         if run.moved:
-            return page_of(run, start, self.holders[run.record.request.request_id])
+            return answer_page(run, start, self.holders[run.record.request.request_id])
         if run.held and not self.begun and not run.record.request.non_idempotent:
             run.go_on(in_background=True)
         if len(run.record.tokens) <= start and not run.record.ended:
             run.record.progressed.wait(timeout=wait_s)
-        return page_of(run, start)
+        return answer_page(run, start)
 
 
 @dataclass
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -13,13 +13,13 @@
 from endive_node.gossip import Gossip
 from endive_node.handover import Handover
 from endive_node.listeners import HttpListener
-from endive_node.locating import Locator
 from endive_node.logs import log_event
 from endive_node.moving import Mover
 from endive_node.notices import NoticeTable, NoticeWatcher
 from endive_node.operators import OperatorApi
 from endive_node.peers import PeerConfigurations, PeerHandler, PeerListener
 from endive_node.platform import HttpCloud, HttpInstanceList, HttpLog
+from endive_node.request_lookup import Locator
 from endive_node.server_polling import ServerPoller
 from endive_node.serving import Serving
 from endive_node.settings import Settings
@@ -106,7 +106,7 @@
         )
         self.mover = Mover(self.serving, self.dispatcher, self.notices)
         self.configuration.listeners.append(lambda _: self.mover.mark())
-        self.serving.elsewhere = Locator(
+        self.serving.request_locator = Locator(
             settings.node.id, self.members, self.notices, self.clock
         )
 
--- a/packages/endive_node/src/endive_node/locating.py
+++ b/packages/endive_node/src/endive_node/request_lookup.py
@@ -216,7 +216,7 @@
             record.error = EndiveError(ErrorKind(page.error_kind), page.error_message)
 
 
-def page_of(run, start: int, moved_to: str = ""):
+def answer_page(run, start: int, moved_to: str = ""):
     """Return the part of a run's answer from index `start` on."""
     record = run.record
     answer, error = record.plain_answer, record.error
--- a/packages/endive_node/src/endive_node/serving.py
+++ b/packages/endive_node/src/endive_node/serving.py
@@ -53,7 +53,7 @@
         self.stopping = False
         self.leaving = False
         self.handing_over = False
-        self.elsewhere: RequestLocator | None = None
+        self.request_locator: RequestLocator | None = None
 
     def new_request_id(self, organisation: str = "", key: str = "") -> str:
         """Return an id from which any node can work out where the answer is."""
@@ -105,8 +105,8 @@
             return None
         run = self.registry.by_idempotency_key(request.organisation, request.key)
         moved = run is not None and run.moved
-        if self.elsewhere is not None and (run is None or moved):
-            run = self.elsewhere.find_key(request.organisation, request.key)
+        if self.request_locator is not None and (run is None or moved):
+            run = self.request_locator.find_key(request.organisation, request.key)
         if run is None and moved:
             raise EndiveError(ErrorKind.MOVED, "another node goes on with the request")
         if run is None:
