--- a/packages/endive_node/src/endive_node/attempts.py
+++ b/packages/endive_node/src/endive_node/attempts.py
@@ -32,7 +32,7 @@
     context: RunContext
     record: RequestRecord
     ticket: Ticket
-    life: Lifecycle
+    lifecycle: Lifecycle
     trace: RequestTrace
     backend: EngineServer | None
     blob: dict | None
@@ -104,8 +104,8 @@
             else:
                 record.take(piece)
         taken = len(record.tokens) - before
-        if taken and self.run.life.allows(Event.FIRST_PIECE):
-            self.run.life.fire(Event.FIRST_PIECE)
+        if taken and self.run.lifecycle.allows(Event.FIRST_PIECE):
+            self.run.lifecycle.fire(Event.FIRST_PIECE)
             self.run.context.dispatcher.started(self.run.ticket)
         if taken and record.first_token_at is None:
             self.run.trace.note("first token")
--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -135,8 +135,8 @@
             return IDL.AnswerPage(known=False, moved_to="")
         if run.moved:
             return answer_page(run, start, self.holders[run.record.request.request_id])
-        if run.held and not self.begun and not run.record.request.non_idempotent:
-            run.go_on(in_background=True)
+        if run.paused and not self.begun and not run.record.request.non_idempotent:
+            run.resume(in_background=True)
         if len(run.record.tokens) <= start and not run.record.ended:
             run.record.progressed.wait(timeout=wait_s)
         return answer_page(run, start)
@@ -232,7 +232,7 @@
     def _send_records(self, peer_id: str, address: str, runs: list[Run]) -> None:
         encoded = [encode(self._transfer(run)) for run in runs]
         for run in runs:
-            run.offer()
+            run.mark_offered()
         taken, _ = self._send("take_requests", peer_id, address, encoded)
         for request_id in taken:
             self.acknowledged[request_id] = address
@@ -325,7 +325,7 @@
                 # The target may have started it although its answer was lost.
                 run.end_unknown()
             else:
-                run.take_back(uncertain=uncertain)
+                run.cancel_handover(uncertain=uncertain)
 
 
 def answer_of(run: Run) -> AnswerTransfer:
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -34,7 +34,7 @@
         self.context = context
         self.record = record
         self.ticket = ticket
-        self.life = Lifecycle(record.request.non_idempotent)
+        self.lifecycle = Lifecycle(record.request.non_idempotent)
         self.trace = context.traces.begin(record.request)
         self.trace.note(f"accepted by {context.node_id}{predicted(ticket)}")
         self.claim: Claimant | None = None
@@ -42,7 +42,7 @@
         self.server: ServerView | None = None
         self.driver: gevent.Greenlet | None = None
         self.driving = False
-        self.held = False
+        self.paused = False
         self.sent_before = False
         self.continues = 0
         self.moved = False
@@ -67,7 +67,7 @@
             self._reader_left()
 
     def _progress(self) -> None:
-        if self.driving or self.held:
+        if self.driving or self.paused:
             self.record.progressed.wait()
         else:
             self.advance()
@@ -97,12 +97,12 @@
     @property
     def not_run(self) -> bool:
         """Whether the request ended and no server ran anything of it."""
-        return self.life.ended and self.life.executed is Executed.NO
+        return self.lifecycle.ended and self.lifecycle.executed is Executed.NO
 
     @property
     def dispatched(self) -> bool:
         """Whether a server may have run anything of it, here or before."""
-        return self.sent_before or self.life.state not in UNSENT_STATES
+        return self.sent_before or self.lifecycle.state not in UNSENT_STATES
 
     @property
     def claim_continues(self) -> int:
@@ -115,10 +115,10 @@
             return self.record.attempt + 1
         return self.continues
 
-    def offer(self) -> None:
+    def mark_offered(self) -> None:
         """Note that another node is sent a record of the request and may run it."""
-        if self.life.allows(Event.OFFER):
-            self.life.fire(Event.OFFER)
+        if self.lifecycle.allows(Event.OFFER):
+            self.lifecycle.fire(Event.OFFER)
 
     def finish_in_background(self) -> None:
         """Drive to the end without a reader."""
@@ -132,27 +132,27 @@
         queue or the log. That happens in the hub, as for gevent's own time-outs, so
         it is done once the caller of this method has yielded.
         """
-        self.held = True
+        self.paused = True
         if self.driving:
             gevent.get_hub().loop.run_callback(self._interrupt)
 
     def _interrupt(self) -> None:
-        if self.driving and self.held:
+        if self.driving and self.paused:
             self.driver.throw(RunPaused)
 
     def wait_for_holder(self, *, sent_before: bool) -> None:
         """Hold a request that another node has not stopped yet."""
-        self.held = True
+        self.paused = True
         self.sent_before = sent_before
-        self.life.state = State.JOINING
+        self.lifecycle.state = State.JOINING
 
     def hand_over(self) -> None:
         """Give a paused request up: nothing of it is sent from here any more."""
-        if self.life.allows(Event.SERVER_LOST):
-            self.life.fire(Event.SERVER_LOST)
+        if self.lifecycle.allows(Event.SERVER_LOST):
+            self.lifecycle.fire(Event.SERVER_LOST)
         self.move = None
-        if self.life.allows(Event.HAND_OVER):
-            self.life.fire(Event.HAND_OVER)
+        if self.lifecycle.allows(Event.HAND_OVER):
+            self.lifecycle.fire(Event.HAND_OVER)
             self._give_up_claim()
         self._give_up_ticket()
 
@@ -161,19 +161,21 @@
             self.context.dispatcher.end(self.ticket)
             self.ticket = None
 
-    def take_back(self, *, uncertain: bool) -> None:
+    def cancel_handover(self, *, uncertain: bool) -> None:
         """Go on with a request that no other node took, or may have taken."""
-        if self.life.state is State.HANDING_OVER:
-            self.life.fire(Event.UNACKNOWLEDGED if uncertain else Event.DECLINED)
-        self.go_on()
+        if self.lifecycle.state is State.HANDING_OVER:
+            self.lifecycle.fire(Event.UNACKNOWLEDGED if uncertain else Event.DECLINED)
+        self.resume()
 
-    def go_on(self, *, in_background: bool = False) -> None:
+    def resume(self, *, in_background: bool = False) -> None:
         """Drive a request again that was paused or adopted."""
-        if not self.held or self.record.ended:
+        if not self.paused or self.record.ended:
             return
-        self.held = False
-        if self.life.state is State.JOINING:
-            self.life = Lifecycle(self.record.request.non_idempotent, self.sent_before)
+        self.paused = False
+        if self.lifecycle.state is State.JOINING:
+            self.lifecycle = Lifecycle(
+                self.record.request.non_idempotent, self.sent_before
+            )
         self._steps = self._drive()
         if in_background or not self.readers:
             gevent.spawn(self.finish_in_background)
@@ -184,7 +186,7 @@
         self.moved = True
         if self.record.ended:
             return
-        self.life.fire(Event.ACKNOWLEDGED)
+        self.lifecycle.fire(Event.ACKNOWLEDGED)
         self._end_in(
             EndiveError(
                 ErrorKind.MOVED,
@@ -194,9 +196,9 @@
             )
         )
 
-    def end_whole(self, finish_reason: str) -> None:
+    def end_complete(self, finish_reason: str) -> None:
         """End an answer that its former holder had whole."""
-        self.life.fire(Event.COMPLETE)
+        self.lifecycle.fire(Event.COMPLETE)
         self.record.finish_reason = finish_reason
         self._ended(outcome="ok")
         self.record.wake()
@@ -219,7 +221,7 @@
         if tokens is None:
             self.end_unknown()
             return False
-        self.life.fire(Event.SERVER_STOPPED)
+        self.lifecycle.fire(Event.SERVER_STOPPED)
         self.record.extend(tokens)
         return True
 
@@ -251,7 +253,9 @@
         if self.record.ended:
             return
         error = self._true_error(error)
-        self.life.fire(Event.REFUSE if self.life.allows(Event.REFUSE) else Event.FAIL)
+        self.lifecycle.fire(
+            Event.REFUSE if self.lifecycle.allows(Event.REFUSE) else Event.FAIL
+        )
         self._give_up_claim()
         self._end_in(error)
 
@@ -269,7 +273,7 @@
         although an earlier one was sent; the caller would send a court confirmation
         again.
         """
-        if error.executed is not Executed.NO or self.life.executed is Executed.NO:
+        if error.executed is not Executed.NO or self.lifecycle.executed is Executed.NO:
             return error
         kind = (
             ErrorKind.OUTCOME_UNKNOWN
@@ -281,8 +285,8 @@
     def _ended(self, *, outcome: str) -> None:
         record = self.record
         record.finished_at = self.context.clock.now()
-        self.trace.state = str(self.life.state)
-        self.trace.executed = str(self.life.executed)
+        self.trace.state = str(self.lifecycle.state)
+        self.trace.executed = str(self.lifecycle.executed)
         self._give_up_ticket()
         self.context.metrics.finished.add(1)
         log_event(
@@ -291,7 +295,7 @@
             organisation=record.request.organisation,
             model=record.request.model,
             outcome=outcome,
-            events=",".join(self.life.history),
+            events=",".join(self.lifecycle.history),
             tokens=len(record.tokens),
             attempts=record.attempt + 1,
             servers=",".join(record.servers),
@@ -300,8 +304,8 @@
 
     def _drive(self) -> Iterator[None]:
         """Run attempts until one ends the answer; yield after each batch of pieces."""
-        if self.life.allows(Event.ENQUEUE):
-            self.life.fire(Event.ENQUEUE)
+        if self.lifecycle.allows(Event.ENQUEUE):
+            self.lifecycle.fire(Event.ENQUEUE)
         if self.ticket is None:
             self.ticket = self.context.dispatcher.take_over(self.record.request)
         self._claim()
@@ -319,18 +323,18 @@
         The log is asked while the request waits in its queue, so that most of the
         time it adds nothing to the wait for a server.
         """
-        if not self.life.allows(Event.CLAIM):
+        if not self.lifecycle.allows(Event.CLAIM):
             return
-        self.life.fire(Event.CLAIM)
+        self.lifecycle.fire(Event.CLAIM)
         self.continues = self.claim_continues
         try:
             self.claim = self.context.claims.acquire(
                 self.record.request, self.continues
             )
         except RunPaused:
-            self.life.fire(Event.UNCLAIM)
+            self.lifecycle.fire(Event.UNCLAIM)
             raise
-        self.life.fire(Event.WON)
+        self.lifecycle.fire(Event.WON)
 
     def _use_claim(self) -> None:
         """Mark the claim as used before anything is sent under it."""
@@ -339,8 +343,8 @@
 
     def _not_started(self) -> None:
         """Note that an attempt certainly did not run; its claim holds as before."""
-        self.life.fire(Event.NOT_STARTED)
-        if self.claim is not None and self.life.state is State.CLAIMED:
+        self.lifecycle.fire(Event.NOT_STARTED)
+        if self.claim is not None and self.lifecycle.state is State.CLAIMED:
             self.claim.not_started()
 
     def _give_up_claim(self) -> None:
@@ -350,7 +354,7 @@
 
     def _attempt(self, server: ServerView) -> Iterator[None]:
         self._use_claim()
-        self.life.fire(Event.DISPATCH)
+        self.lifecycle.fire(Event.DISPATCH)
         record = self.record
         record.attempt += 1
         record.servers.append(server.id)
@@ -358,7 +362,7 @@
         begun = f"attempt {record.attempt + 1} at {server.id} in {server.zone}"
         self.trace.note(f"{begun} from token {len(record.tokens)}{cached(self.ticket)}")
         yield from RunAttempt(self, server).steps()
-        self.life.fire(Event.COMPLETE)
+        self.lifecycle.fire(Event.COMPLETE)
         tokens = len(record.tokens)
         self.trace.note(f"whole, {tokens} tokens")
         self.context.dispatcher.finished(self.ticket, tokens or 1)
@@ -375,7 +379,7 @@
         if move is None or not move.wait():
             return False
         if error.started:
-            self.life.fire(Event.SERVER_STOPPED)
+            self.lifecycle.fire(Event.SERVER_STOPPED)
         else:
             self._not_started()
         self.record.extend(move.tokens)
@@ -394,8 +398,8 @@
         )
         if not error.started:
             self._not_started()
-        elif self.life.allows(Event.SERVER_LOST):
-            self.life.fire(Event.SERVER_LOST)
+        elif self.lifecycle.allows(Event.SERVER_LOST):
+            self.lifecycle.fire(Event.SERVER_LOST)
         if error.final_status is not None:
             raise EndiveError(ErrorKind.BACKEND_REJECTED, str(error)) from None
         self.context.dispatcher.failed(self.ticket, error)
--- a/packages/endive_node/src/endive_node/takeover.py
+++ b/packages/endive_node/src/endive_node/takeover.py
@@ -48,7 +48,7 @@
         run = self.serving.add_transferred(record, sent_before=transfer.dispatched)
         self.taken.add(1)
         if transfer.stopped:
-            run.go_on(in_background=True)
+            run.resume(in_background=True)
         else:
             gevent.spawn_later(transfer.starts_in_s, self.sender_gone, run)
 
@@ -58,14 +58,14 @@
         An idempotent one starts. A non-idempotent one may have been sent to a server
         in the holder's last moments, so it must not run again.
         """
-        if not run.held or run.record.ended:
+        if not run.paused or run.record.ended:
             return
         if run.record.request.non_idempotent:
             run.end_unknown()
         else:
             # The holder may have sent it to a server after its record had left.
             run.sent_before = True
-            run.go_on(in_background=True)
+            run.resume(in_background=True)
 
     def take_answers(self, sender: str, encoded: list[bytes]) -> list[str]:
         """Take the answers so far and go on with them; return the ids that do."""
@@ -82,7 +82,7 @@
 
     def _continue(self, run: Run, transfer: AnswerTransfer) -> None:
         record = run.record
-        if not run.held or record.ended:
+        if not run.paused or record.ended:
             return
         record.tokens[:] = transfer.tokens
         record.attempt = transfer.attempt
@@ -93,8 +93,8 @@
                 transfer.status, transfer.content_type, transfer.data
             )
         if transfer.finish_reason:
-            run.end_whole(transfer.finish_reason)
+            run.end_complete(transfer.finish_reason)
         elif transfer.error:
             run.end_failed(EndiveError(ErrorKind(transfer.error), transfer.message))
         else:
-            run.go_on(in_background=True)
+            run.resume(in_background=True)
--- a/packages/endive_node/tests/test_run_handover.py
+++ b/packages/endive_node/tests/test_run_handover.py
@@ -28,7 +28,7 @@
     node for dead and runs it."""
     path = serving(FakeEngines(not_started()), servers=1)
     run = path.accept(request(path))
-    run.offer()
+    run.mark_offered()
     assert error_of(run).executed is Executed.UNKNOWN
 
 
@@ -59,7 +59,7 @@
     run = path.accept(request(path, key="k", non_idempotent=True))
     reader = run.read()
     next(reader)
-    run.life.fire(Event.SERVER_STOPPED)
+    run.lifecycle.fire(Event.SERVER_STOPPED)
     run.hand_over()
     sent = answer_of(run)
     assert (sent.continues, sent.dispatched) == (1, True)
