--- a/packages/endive_node/src/endive_node/__init__.py
+++ b/packages/endive_node/src/endive_node/__init__.py
@@ -6,7 +6,7 @@
 - callers' side: ``callers``, ``serving``, ``runs``, ``request_registry``, ``watching``
 - servers' side: ``attempts``, ``backends``, ``dispatching``, ``waiters``,
   ``server_polling``
-- requests that move: ``moves``, ``moving``, ``handover``, ``takeover``,
+- requests that move: ``pending_moves``, ``stream_mover``, ``handover``, ``takeover``,
   ``request_lookup``
 - operators: ``operators``, ``reporting``, ``request_traces``
 - what the platform says: ``platform``, ``configuration``, ``snapshots``,
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -14,7 +14,6 @@
 from endive_node.handover import Handover
 from endive_node.listeners import HttpListener
 from endive_node.logs import log_event
-from endive_node.moving import Mover
 from endive_node.notices import NoticeTable, NoticeWatcher
 from endive_node.operators import OperatorApi
 from endive_node.peers import PeerConfigurations, PeerHandler, PeerListener
@@ -24,6 +23,7 @@
 from endive_node.serving import Serving
 from endive_node.settings import Settings
 from endive_node.snapshot_writer import SnapshotWriter
+from endive_node.stream_mover import StreamMover
 from endive_node.telemetry import Metrics, MonotonicClock
 
 DRAIN_POLL_S = 0.05
@@ -104,8 +104,10 @@
         self.fact_exchange = FactExchange(
             self.gossip, self.notices, self.dispatcher.crashes
         )
-        self.mover = Mover(self.serving, self.dispatcher, self.notices)
-        self.configuration.listeners.append(lambda _: self.mover.mark())
+        self.stream_mover = StreamMover(self.serving, self.dispatcher, self.notices)
+        self.configuration.listeners.append(
+            lambda _: self.stream_mover.mark_leaving_servers()
+        )
         self.serving.request_locator = Locator(
             settings.node.id, self.members, self.notices, self.clock
         )
--- a/packages/endive_node/src/endive_node/moves.py
+++ b/packages/endive_node/src/endive_node/pending_moves.py
@@ -6,7 +6,7 @@
 """Longest an attempt that was cut off waits to hear whether its stream has moved."""
 
 
-class Move:
+class PendingMove:
     """A stream on its way off a server: who stops it there fills in what it had.
 
     Attributes
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -15,7 +15,7 @@
 from endive_node.contexts import RunContext
 from endive_node.interfaces import BackendError, RunPaused
 from endive_node.logs import log_event
-from endive_node.moves import Move
+from endive_node.pending_moves import PendingMove
 from endive_node.request_registry import RequestRecord, read_tokens
 from endive_node.request_traces import cached, ending, predicted
 
@@ -46,7 +46,7 @@
         self.sent_before = False
         self.continues = 0
         self.moved = False
-        self.move: Move | None = None
+        self.pending_move: PendingMove | None = None
         self.blob: dict | None = None
         self.readers = 0
         self._steps = self._drive()
@@ -150,7 +150,7 @@
         """Give a paused request up: nothing of it is sent from here any more."""
         if self.lifecycle.allows(Event.SERVER_LOST):
             self.lifecycle.fire(Event.SERVER_LOST)
-        self.move = None
+        self.pending_move = None
         if self.lifecycle.allows(Event.HAND_OVER):
             self.lifecycle.fire(Event.HAND_OVER)
             self._give_up_claim()
@@ -375,7 +375,7 @@
         there was time to export it. A move is no failure: it does not count against
         the limit of attempts.
         """
-        move, self.move = self.move, None
+        move, self.pending_move = self.pending_move, None
         if move is None or not move.wait():
             return False
         if error.started:
--- a/packages/endive_node/src/endive_node/moving.py
+++ b/packages/endive_node/src/endive_node/stream_mover.py
@@ -9,8 +9,8 @@
 
 from endive_node.dispatching import Dispatcher
 from endive_node.logs import log_event
-from endive_node.moves import Move
 from endive_node.notices import Notice, NoticeTable
+from endive_node.pending_moves import PendingMove
 from endive_node.runs import Run
 from endive_node.serving import Serving
 
@@ -19,7 +19,7 @@
 would only make the dearest one wait for the others."""
 
 
-class Mover:
+class StreamMover:
     """Moves streams off servers that are being reclaimed, the dearest first.
 
     What goes wrong without it: the server is killed and each of its streams is
@@ -43,13 +43,13 @@
         If this node goes too, it only hands over: exports would hold up the records,
         and its streams are stopped and go on at other nodes in the same moment.
         """
-        for server in self.mark():
+        for server in self.mark_leaving_servers():
             if self.serving.handing_over:
                 continue
             if self.notices.notice_for(server.id, server.zone) is notice:
                 gevent.spawn(self.empty, server, notice)
 
-    def mark(self) -> list[ServerView]:
+    def mark_leaving_servers(self) -> list[ServerView]:
         """Take all servers under notice out of the choice; return them."""
         found = []
         for server in list(self._servers()):
@@ -87,7 +87,7 @@
         """Stop one stream at `server`; its driver goes on elsewhere."""
         if not at(run, server):
             return
-        move = run.move = Move()
+        move = run.pending_move = PendingMove()
         request_id = run.record.request.request_id
         exported = None
         if method is MoveMethod.EXPORT:
