--- a/packages/endive_node/src/endive_node/attempts.py
+++ b/packages/endive_node/src/endive_node/attempts.py
@@ -55,7 +55,7 @@
     def _call_plain(self) -> None:
         plain = self.run.context.clients.plain(self.server.address)
         request = self.run.record.request
-        self.run.record.plain_answer = plain.call(
+        self.run.record.plain_response = plain.call(
             request, self.run.record.attempt, request.body["data"]
         )
         self.run.record.finish_reason = "stop"
--- a/packages/endive_node/src/endive_node/backends.py
+++ b/packages/endive_node/src/endive_node/backends.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class PlainAnswer:
+class PlainResponse:
     """A plain service's whole answer."""
 
     status: int
@@ -323,7 +323,7 @@
         self.clients = clients
         self.address = address
 
-    def call(self, request: Request, attempt: int, data: bytes) -> PlainAnswer:
+    def call(self, request: Request, attempt: int, data: bytes) -> PlainResponse:
         """Send the call and return the whole answer.
 
         Raises
@@ -351,4 +351,4 @@
             ) from None
         response.release_conn()
         content_type = response.headers.get("Content-Type", "application/octet-stream")
-        return PlainAnswer(response.status, content_type, body)
+        return PlainResponse(response.status, content_type, body)
--- a/packages/endive_node/src/endive_node/callers.py
+++ b/packages/endive_node/src/endive_node/callers.py
@@ -108,7 +108,7 @@
                 pass
         except EndiveError as error:
             return self._refuse(error, request_id=id_of(run))
-        return plain_answer(run.record)
+        return plain_response(run.record)
 
     def health(self):
         """Tell the platform's balancer whether to send calls here."""
@@ -219,7 +219,7 @@
             for _ in run.read():
                 pass
             if request.endpoint is Endpoint.SERVICE:
-                return plain_answer(run.record)
+                return plain_response(run.record)
             bottle.response.content_type = "application/json"
             return encode_json(whole_answer(run.record))
         batches = run.read(start)
@@ -284,9 +284,9 @@
     return ID_PREFIXES[request.endpoint] + request.request_id
 
 
-def plain_answer(record: RequestRecord) -> bytes:
+def plain_response(record: RequestRecord) -> bytes:
     """Set status and headers of a plain service's answer; return its body."""
-    answer = record.plain_answer
+    answer = record.plain_response
     bottle.response.status = answer.status
     bottle.response.content_type = answer.content_type
     bottle.response.set_header("X-Request-Id", record.request.request_id)
--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -331,7 +331,7 @@
 def answer_of(run: Run) -> AnswerTransfer:
     """Return a stopped run's answer so far."""
     record = run.record
-    error, plain = record.error, record.plain_answer
+    error, plain = record.error, record.plain_response
     return AnswerTransfer(
         request_id=record.request.request_id,
         tokens=record.tokens,
--- a/packages/endive_node/src/endive_node/listeners.py
+++ b/packages/endive_node/src/endive_node/listeners.py
@@ -10,11 +10,11 @@
 
     def handle_one_response(self) -> None:
         """Answer one call."""
-        self.server.calls += 1
+        self.server.calls_in_progress += 1
         try:
             super().handle_one_response()
         finally:
-            self.server.calls -= 1
+            self.server.calls_in_progress -= 1
 
 
 class HttpListener:
@@ -26,12 +26,12 @@
         self.server = WSGIServer(
             self.socket, app, log=None, handler_class=CountingHandler
         )
-        self.server.calls = 0
+        self.server.calls_in_progress = 0
 
     @property
-    def calls(self) -> int:
+    def calls_in_progress(self) -> int:
         """Number of calls that are being answered."""
-        return self.server.calls
+        return self.server.calls_in_progress
 
     def start(self) -> None:
         """Begin to accept calls."""
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -225,7 +225,9 @@
 
     def _busy(self) -> bool:
         """Return whether an answer is under way, to a caller or from a server."""
-        return bool(self.serving.registry.unfinished() or self.callers.calls)
+        return bool(
+            self.serving.registry.unfinished() or self.callers.calls_in_progress
+        )
 
     def stop(self) -> None:
         """Stop at once what still runs."""
--- a/packages/endive_node/src/endive_node/request_lookup.py
+++ b/packages/endive_node/src/endive_node/request_lookup.py
@@ -14,7 +14,7 @@
     route_of,
 )
 
-from endive_node.backends import PlainAnswer
+from endive_node.backends import PlainResponse
 from endive_node.interfaces import Clock, Members
 from endive_node.notices import NoticeTable
 from endive_node.peers import IDL, PeerClient, PeerConnection, PeerUnavailableError
@@ -211,7 +211,9 @@
         record.tokens += page.tokens
         record.finish_reason = page.finish_reason
         if page.status:
-            record.plain_answer = PlainAnswer(page.status, page.content_type, page.body)
+            record.plain_response = PlainResponse(
+                page.status, page.content_type, page.body
+            )
         if page.error_kind:
             record.error = EndiveError(ErrorKind(page.error_kind), page.error_message)
 
@@ -219,7 +221,7 @@
 def answer_page(run, start: int, moved_to: str = ""):
     """Return the part of a run's answer from index `start` on."""
     record = run.record
-    answer, error = record.plain_answer, record.error
+    answer, error = record.plain_response, record.error
     head = b"" if start else msgspec.msgpack.encode(run.head())
     return IDL.AnswerPage(
         known=True,
--- a/packages/endive_node/src/endive_node/request_registry.py
+++ b/packages/endive_node/src/endive_node/request_registry.py
@@ -7,7 +7,7 @@
 from endive_core.messages import Piece, Request
 from gevent.event import Event
 
-from endive_node.backends import PlainAnswer
+from endive_node.backends import PlainResponse
 
 REORDERED = "reordered"
 MAX_EARLY_PIECES = 16
@@ -37,7 +37,7 @@
     attempt: int = -1
     finish_reason: str = ""
     error: EndiveError | None = None
-    plain_answer: PlainAnswer | None = None
+    plain_response: PlainResponse | None = None
     first_token_at: float | None = None
     finished_at: float | None = None
     servers: list[str] = field(default_factory=list)
--- a/packages/endive_node/src/endive_node/takeover.py
+++ b/packages/endive_node/src/endive_node/takeover.py
@@ -5,7 +5,7 @@
 from endive_core.exceptions import EndiveError, ErrorKind
 from endive_core.handover import AnswerTransfer, RequestTransfer, request_of
 
-from endive_node.backends import PlainAnswer
+from endive_node.backends import PlainResponse
 from endive_node.logs import log_event
 from endive_node.peers import IDL
 from endive_node.request_registry import RequestRecord
@@ -89,7 +89,7 @@
         run.sent_before = run.sent_before or transfer.dispatched
         run.continues = transfer.continues
         if transfer.status:
-            record.plain_answer = PlainAnswer(
+            record.plain_response = PlainResponse(
                 transfer.status, transfer.content_type, transfer.data
             )
         if transfer.finish_reason:
