--- a/packages/endive_node/src/endive_node/attempts.py
+++ b/packages/endive_node/src/endive_node/attempts.py
@@ -10,9 +10,9 @@
 
 from endive_node.backends import EngineServer
 from endive_node.contexts import RunContext
-from endive_node.explaining import Trail
 from endive_node.interfaces import BackendError
-from endive_node.ledger import REORDERED, RequestRecord
+from endive_node.request_registry import REORDERED, RequestRecord
+from endive_node.request_traces import RequestTrace
 
 CANCELLED = "cancelled"
 """The reason with which an engine ends a sequence that it was told to stop."""
@@ -32,8 +32,8 @@
     context: RunContext
     record: RequestRecord
     ticket: Ticket
-    life: Lifecycle
-    trail: Trail
+    lifecycle: Lifecycle
+    trace: RequestTrace
     backend: EngineServer | None
     blob: dict | None
 
@@ -55,7 +55,7 @@
     def _call_plain(self) -> None:
         plain = self.run.context.clients.plain(self.server.address)
         request = self.run.record.request
-        self.run.record.plain_answer = plain.call(
+        self.run.record.plain_response = plain.call(
             request, self.run.record.attempt, request.body["data"]
         )
         self.run.record.finish_reason = "stop"
@@ -98,17 +98,17 @@
         for piece in pieces:
             reason = record.classify(piece)
             if reason:
-                self.run.context.metrics.dropped(reason)
+                self.run.context.metrics.count_drop(reason)
                 if reason == REORDERED:
                     record.keep_early(piece)
             else:
                 record.take(piece)
         taken = len(record.tokens) - before
-        if taken and self.run.life.allows(Event.FIRST_PIECE):
-            self.run.life.fire(Event.FIRST_PIECE)
+        if taken and self.run.lifecycle.allows(Event.FIRST_PIECE):
+            self.run.lifecycle.fire(Event.FIRST_PIECE)
             self.run.context.dispatcher.started(self.run.ticket)
         if taken and record.first_token_at is None:
-            self.run.trail.note("first token")
+            self.run.trace.note("first token")
             record.first_token_at = self.run.context.clock.now()
             self.run.context.metrics.first_token.record(
                 record.first_token_at - record.accepted_at
--- a/packages/endive_node/src/endive_node/callers.py
+++ b/packages/endive_node/src/endive_node/callers.py
@@ -11,8 +11,8 @@
 from endive_core.exceptions import EndiveError, ErrorKind
 from endive_core.messages import Endpoint, Request
 
-from endive_node.ledger import RequestRecord
 from endive_node.logs import log_event
+from endive_node.request_registry import RequestRecord
 from endive_node.runs import Run
 from endive_node.serving import Serving
 
@@ -88,11 +88,11 @@
             return self._refuse(error, request_id=request_id)
 
     def _run_of(self, organisation: str, request_id: str):
-        run = self.serving.ledger.get(request_id)
+        run = self.serving.registry.get(request_id)
         if run is not None and run.record.request.organisation != organisation:
             run = None
-        elif (run is None or run.moved) and self.serving.elsewhere is not None:
-            run = self.serving.elsewhere.find_id(organisation, request_id)
+        elif (run is None or run.moved) and self.serving.request_locator is not None:
+            run = self.serving.request_locator.find_id(organisation, request_id)
         if run is None:
             raise EndiveError(
                 ErrorKind.UNKNOWN_REQUEST, "no node that was asked knows the request"
@@ -108,7 +108,7 @@
                 pass
         except EndiveError as error:
             return self._refuse(error, request_id=id_of(run))
-        return plain_answer(run.record)
+        return plain_response(run.record)
 
     def health(self):
         """Tell the platform's balancer whether to send calls here."""
@@ -219,7 +219,7 @@
             for _ in run.read():
                 pass
             if request.endpoint is Endpoint.SERVICE:
-                return plain_answer(run.record)
+                return plain_response(run.record)
             bottle.response.content_type = "application/json"
             return encode_json(whole_answer(run.record))
         batches = run.read(start)
@@ -284,9 +284,9 @@
     return ID_PREFIXES[request.endpoint] + request.request_id
 
 
-def plain_answer(record: RequestRecord) -> bytes:
+def plain_response(record: RequestRecord) -> bytes:
     """Set status and headers of a plain service's answer; return its body."""
-    answer = record.plain_answer
+    answer = record.plain_response
     bottle.response.status = answer.status
     bottle.response.content_type = answer.content_type
     bottle.response.set_header("X-Request-Id", record.request.request_id)
--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -17,15 +17,15 @@
 from endive_core.messages import Endpoint
 
 from endive_node.interfaces import Members
-from endive_node.locating import page_of
 from endive_node.logs import log_event
-from endive_node.notices import Notice, NoticeBoard
+from endive_node.notices import Notice, NoticeTable
 from endive_node.peers import (
     IDL,
     PeerClient,
     PeerUnavailableError,
     PeerUnreachableError,
 )
+from endive_node.request_lookup import answer_page
 from endive_node.runs import Run
 from endive_node.serving import Serving
 from endive_node.settings import NodeSection
@@ -68,12 +68,12 @@
         serving: Serving,
         section: NodeSection,
         members: Members,
-        board: NoticeBoard,
+        notices: NoticeTable,
     ) -> None:
         self.serving = serving
         self.section = section
         self.members = members
-        self.board = board
+        self.notices = notices
         self.holders: dict[str, str] = {}
         self.begun = False
         self.takeover = Takeover(serving)
@@ -82,13 +82,13 @@
         metrics = serving.metrics
         self.given = metrics.counter("endive_handover_requests_given")
         self.declined = metrics.counter("endive_handover_calls_declined")
-        board.listeners.append(self.on_notice)
+        notices.listeners.append(self.on_notice)
 
     def on_notice(self, notice: Notice) -> None:
         """Begin if `notice` takes this node."""
         if self.begun:
             return
-        if self.board.concerning(self.section.id, self.section.zone) is notice:
+        if self.notices.notice_for(self.section.id, self.section.zone) is notice:
             self.begun = self.serving.handing_over = True
             gevent.spawn(self.run, notice)
 
@@ -98,7 +98,7 @@
         started_at = clock.now()
         self.serving.leaving = self.serving.stopping = True
         self.members.leave()
-        count = len(self.serving.ledger.unfinished())
+        count = len(self.serving.registry.unfinished())
         log_event("handover_started", in_flight=count)
         round_ = Round(self, notice)
         until = notice.ends_at + ROUNDS_AFTER_NOTICE_S
@@ -127,19 +127,19 @@
         self, organisation: str, request_id: str, key: str, start: int, wait_s: float
     ):
         """Return a page of an answer that this node holds, or who holds it."""
-        ledger = self.serving.ledger
-        run = ledger.get(request_id) if request_id else None
+        registry = self.serving.registry
+        run = registry.get(request_id) if request_id else None
         if run is None and key:
-            run = ledger.by_idempotency_key(organisation, key)
+            run = registry.by_idempotency_key(organisation, key)
         if run is None or run.record.request.organisation != organisation:
             return IDL.AnswerPage(known=False, moved_to="")
         if run.moved:
-            return page_of(run, start, self.holders[run.record.request.request_id])
-        if run.held and not self.begun and not run.record.request.non_idempotent:
-            run.go_on(in_background=True)
+            return answer_page(run, start, self.holders[run.record.request.request_id])
+        if run.paused and not self.begun and not run.record.request.non_idempotent:
+            run.resume(in_background=True)
         if len(run.record.tokens) <= start and not run.record.ended:
             run.record.progressed.wait(timeout=wait_s)
-        return page_of(run, start)
+        return answer_page(run, start)
 
 
 @dataclass
@@ -163,7 +163,7 @@
 
     def left(self) -> list[Run]:
         """Return the runs that this node still owns."""
-        return [r for r in self.handover.serving.ledger.unfinished() if not r.moved]
+        return [r for r in self.handover.serving.registry.unfinished() if not r.moved]
 
     def unsettled(self) -> bool:
         """Return whether anything is left to give away or to tell a target."""
@@ -204,11 +204,11 @@
 
     def _target(self, request_id: str):
         handover = self.handover
-        gone = {handover.section.id} | handover.board.instances()
+        gone = {handover.section.id} | handover.notices.instances()
         order = handover_targets(
             route_in(request_id),
             handover.members.live(),
-            zones_under_notice=handover.board.zones(),
+            zones_under_notice=handover.notices.zones(),
             without=frozenset(gone),
         )
         # A node that was slow once is better than none.
@@ -232,7 +232,7 @@
     def _send_records(self, peer_id: str, address: str, runs: list[Run]) -> None:
         encoded = [encode(self._transfer(run)) for run in runs]
         for run in runs:
-            run.offer()
+            run.mark_offered()
         taken, _ = self._send("take_requests", peer_id, address, encoded)
         for request_id in taken:
             self.acknowledged[request_id] = address
@@ -265,10 +265,10 @@
         The longest answers go first: a request that isn't told of before the kill
         starts again from nothing, which costs nothing for one that still waits.
         """
-        ledger = self.handover.serving.ledger
+        registry = self.handover.serving.registry
         groups: dict[str, list[Run]] = {}
         for request_id, address in list(self.acknowledged.items()):
-            run = ledger.get(request_id)
+            run = registry.get(request_id)
             if run is None or run.moved:
                 del self.acknowledged[request_id]
             elif self._may_stop(run):
@@ -325,13 +325,13 @@
                 # The target may have started it although its answer was lost.
                 run.end_unknown()
             else:
-                run.take_back(uncertain=uncertain)
+                run.cancel_handover(uncertain=uncertain)
 
 
 def answer_of(run: Run) -> AnswerTransfer:
     """Return a stopped run's answer so far."""
     record = run.record
-    error, plain = record.error, record.plain_answer
+    error, plain = record.error, record.plain_response
     return AnswerTransfer(
         request_id=record.request.request_id,
         tokens=record.tokens,
--- a/packages/endive_node/src/endive_node/reporting.py
+++ b/packages/endive_node/src/endive_node/reporting.py
@@ -52,7 +52,7 @@
         accepted_by = origin_in(request_id)
         peer = self._member(accepted_by)
         if accepted_by == own_id or peer is None:
-            return self.node.serving.trails.get(request_id).shown(own_id)
+            return self.node.serving.traces.get(request_id).shown(own_id)
         try:
             answer = PeerClient(peer.peer_address).explain_request(request_id)
         except (IDL.PeerError, PeerUnavailableError) as error:
@@ -75,8 +75,8 @@
             "stopping": node.serving.stopping,
             "configuration": self.configuration(),
             "nodes": [shown_member(member) for member in node.members.live()],
-            "in_flight": len(node.serving.ledger.unfinished()),
-            "zones_under_notice": sorted(node.board.zones()),
+            "in_flight": len(node.serving.registry.unfinished()),
+            "zones_under_notice": sorted(node.notices.zones()),
             "queues": self.queues(),
             "servers": self.servers(),
             "refusals": {
--- a/packages/endive_node/src/endive_node/locating.py
+++ b/packages/endive_node/src/endive_node/request_lookup.py
@@ -14,11 +14,11 @@
     route_of,
 )
 
-from endive_node.backends import PlainAnswer
+from endive_node.backends import PlainResponse
 from endive_node.interfaces import Clock, Members
-from endive_node.ledger import RequestRecord, read_tokens
-from endive_node.notices import NoticeBoard
+from endive_node.notices import NoticeTable
 from endive_node.peers import IDL, PeerClient, PeerConnection, PeerUnavailableError
+from endive_node.request_registry import RequestRecord, read_tokens
 
 LOOKUP_TIMEOUT_S = 0.5
 """A lookup asks nodes that may be dead; a live one answers in milliseconds."""
@@ -41,11 +41,11 @@
     """
 
     def __init__(
-        self, node_id: str, members: Members, board: NoticeBoard, clock: Clock
+        self, node_id: str, members: Members, notices: NoticeTable, clock: Clock
     ) -> None:
         self.node_id = node_id
         self.members = members
-        self.board = board
+        self.notices = notices
         self.clock = clock
 
     def find_id(self, organisation: str, request_id: str) -> "RemoteRun | None":
@@ -58,7 +58,7 @@
         Outside a reclaim nobody is asked: it would cost each request with a key a
         round trip to three nodes.
         """
-        if not self.board.recent():
+        if not self.notices.has_recent():
             return None
         route = route_of(organisation, key, "")
         return self._find(Lookup(organisation, "", route, key))
@@ -85,7 +85,7 @@
         order = handover_targets(
             lookup.route,
             live,
-            zones_under_notice=self.board.zones(),
+            zones_under_notice=self.notices.zones(),
             without=own,
         )
         origin = origin_in(lookup.request_id)
@@ -211,15 +211,17 @@
         record.tokens += page.tokens
         record.finish_reason = page.finish_reason
         if page.status:
-            record.plain_answer = PlainAnswer(page.status, page.content_type, page.body)
+            record.plain_response = PlainResponse(
+                page.status, page.content_type, page.body
+            )
         if page.error_kind:
             record.error = EndiveError(ErrorKind(page.error_kind), page.error_message)
 
 
-def page_of(run, start: int, moved_to: str = ""):
+def answer_page(run, start: int, moved_to: str = ""):
     """Return the part of a run's answer from index `start` on."""
     record = run.record
-    answer, error = record.plain_answer, record.error
+    answer, error = record.plain_response, record.error
     head = b"" if start else msgspec.msgpack.encode(run.head())
     return IDL.AnswerPage(
         known=True,
--- a/packages/endive_node/src/endive_node/takeover.py
+++ b/packages/endive_node/src/endive_node/takeover.py
@@ -5,10 +5,10 @@
 from endive_core.exceptions import EndiveError, ErrorKind
 from endive_core.handover import AnswerTransfer, RequestTransfer, request_of
 
-from endive_node.backends import PlainAnswer
-from endive_node.ledger import RequestRecord
+from endive_node.backends import PlainResponse
 from endive_node.logs import log_event
 from endive_node.peers import IDL
+from endive_node.request_registry import RequestRecord
 from endive_node.runs import Run
 from endive_node.serving import Serving
 
@@ -33,8 +33,8 @@
         return held
 
     def _hold(self, transfer: RequestTransfer) -> None:
-        ledger, clock = self.serving.ledger, self.serving.clock
-        known = ledger.get(transfer.head.request_id)
+        registry, clock = self.serving.registry, self.serving.clock
+        known = registry.get(transfer.head.request_id)
         if known is not None and not known.moved:
             return
         now = clock.now()
@@ -45,10 +45,10 @@
             now - transfer.age_s,
             attempt=transfer.attempt,
         )
-        run = self.serving.adopt(record, sent_before=transfer.dispatched)
+        run = self.serving.add_transferred(record, sent_before=transfer.dispatched)
         self.taken.add(1)
         if transfer.stopped:
-            run.go_on(in_background=True)
+            run.resume(in_background=True)
         else:
             gevent.spawn_later(transfer.starts_in_s, self.sender_gone, run)
 
@@ -58,14 +58,14 @@
         An idempotent one starts. A non-idempotent one may have been sent to a server
         in the holder's last moments, so it must not run again.
         """
-        if not run.held or run.record.ended:
+        if not run.paused or run.record.ended:
             return
         if run.record.request.non_idempotent:
             run.end_unknown()
         else:
             # The holder may have sent it to a server after its record had left.
             run.sent_before = True
-            run.go_on(in_background=True)
+            run.resume(in_background=True)
 
     def take_answers(self, sender: str, encoded: list[bytes]) -> list[str]:
         """Take the answers so far and go on with them; return the ids that do."""
@@ -74,7 +74,7 @@
         taken = []
         for data in encoded:
             transfer = msgspec.msgpack.decode(data, type=AnswerTransfer)
-            run = self.serving.ledger.get(transfer.request_id)
+            run = self.serving.registry.get(transfer.request_id)
             if run is not None and not run.moved:
                 self._continue(run, transfer)
                 taken.append(transfer.request_id)
@@ -82,19 +82,19 @@
 
     def _continue(self, run: Run, transfer: AnswerTransfer) -> None:
         record = run.record
-        if not run.held or record.ended:
+        if not run.paused or record.ended:
             return
         record.tokens[:] = transfer.tokens
         record.attempt = transfer.attempt
         run.sent_before = run.sent_before or transfer.dispatched
         run.continues = transfer.continues
         if transfer.status:
-            record.plain_answer = PlainAnswer(
+            record.plain_response = PlainResponse(
                 transfer.status, transfer.content_type, transfer.data
             )
         if transfer.finish_reason:
-            run.end_whole(transfer.finish_reason)
+            run.end_complete(transfer.finish_reason)
         elif transfer.error:
             run.end_failed(EndiveError(ErrorKind(transfer.error), transfer.message))
         else:
-            run.go_on(in_background=True)
+            run.resume(in_background=True)
