--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -15,16 +15,16 @@
 from endive_core.policy import Policy
 from endive_core.queueing import FairQueue
 from endive_core.quotas import Quota
-from endive_core.rates import ServiceRate, WaitError
-from endive_core.returning import ReturnTimes
+from endive_core.rates import ServiceRate, WaitErrorEstimate
+from endive_core.returning import RetryWindows
 from endive_core.servers import ServerSet
 from endive_core.service_types import ServiceType
-from endive_core.usage import Usage
+from endive_core.usage import SlotUsage
 
 if TYPE_CHECKING:
     from endive_core.resources import Organisation
 
-FLOOR_PART = 0.25
+MIN_WAIT_SHARE = 0.25
 """Part of the target that a call may always wait. A prompt whose own computation takes
 longer than the target can never meet it, and to send its caller away for later would
 be no honest answer; it is admitted while the wait is short."""
@@ -49,7 +49,7 @@
     wait_s: float
     allowance_s: float
     service_s: float
-    drain_s: float
+    token_s: float
 
     @property
     def first_token_s(self) -> float:
@@ -69,7 +69,7 @@
     if call.bulk:
         return max_bulk_wait_s
     left = call.target_s * margin - prediction.service_s
-    return max(left, call.target_s * FLOOR_PART)
+    return max(left, call.target_s * MIN_WAIT_SHARE)
 
 
 class Admission:
@@ -84,7 +84,7 @@
         policy: Policy,
         servers: ServerSet,
         queue: FairQueue,
-        usage: Usage,
+        usage: SlotUsage,
         crashes: CrashTable,
         service_type: ServiceType,
     ) -> None:
@@ -94,8 +94,8 @@
         self.usage = usage
         self.crashes = crashes
         self.rate = ServiceRate.for_service(service_type)
-        self.errors = {tier: WaitError() for tier in Tier}
-        self.return_times = ReturnTimes(
+        self.wait_errors = {tier: WaitErrorEstimate() for tier in Tier}
+        self.retry_windows = RetryWindows(
             min_s=policy.min_retry_after_s, max_s=policy.max_retry_after_s
         )
         self.quotas: dict[str, Quota] = {}
@@ -141,13 +141,13 @@
                 max(self.policy.min_retry_after_s, prediction.wait_s),
             )
         key = (call.organisation, call.rank)
-        cost_s = call.tokens * prediction.drain_s
-        turn = self.return_times.may_enter(key, call.fingerprint, now)
-        if prediction.long_wait_s <= allowed and (turn or not prediction.wait_s):
-            if not turn:
-                self.return_times.jumped(key, now, cost_s=cost_s)
+        cost_s = call.tokens * prediction.token_s
+        may_enqueue = self.retry_windows.may_enqueue(key, call.fingerprint, now)
+        if prediction.long_wait_s <= allowed and (may_enqueue or not prediction.wait_s):
+            if not may_enqueue:
+                self.retry_windows.enqueued_early(key, now, cost_s=cost_s)
             return None
-        retry_after = self.return_times.give(
+        retry_after = self.retry_windows.assign(
             key,
             call.fingerprint,
             now,
@@ -169,10 +169,14 @@
         tier = self.usage.tier(call)
         if ahead or not self.servers.open[tier]:
             wait += self.rate.held_s / slots
-            allowance = self.errors[tier].allowance_s(self.policy.wait_deviations)
+            allowance = self.wait_errors[tier].allowance_s(self.policy.wait_deviations)
         prefill = call.prompt_tokens / self.prefill_tokens_per_s()
-        drain = self.rate.tokens_per_slot_s * self.usage.slots_of(call.organisation)
-        return Prediction(wait, allowance, self.rate.start_s + prefill, 1 / drain)
+        organisation_tokens_per_s = self.rate.tokens_per_slot_s * self.usage.slots_of(
+            call.organisation
+        )
+        return Prediction(
+            wait, allowance, self.rate.start_s + prefill, 1 / organisation_tokens_per_s
+        )
 
     def prefill_tokens_per_s(self) -> float:
         """Return the declared prefill rate; all servers of a service share it."""
@@ -182,7 +186,7 @@
 
     def enter(self, call: Call, now: float) -> Ticket:
         """Return the ticket of a call that is admitted."""
-        cost = call.prompt_tokens + call.max_tokens * self.rate.answer_part
+        cost = call.prompt_tokens + call.max_tokens * self.rate.answer_share
         ticket = Ticket(call, now, cost)
         ticket.suspect = self.crashes.count(call.fingerprint, now) > 0
         ticket.predicted_s = self.predict(call).wait_s
@@ -201,7 +205,7 @@
 
     def waited(self, ticket: Ticket, seconds: float) -> None:
         """Learn how long an admitted call waited in the queue."""
-        self.errors[ticket.tier].learn(seconds - ticket.predicted_s)
+        self.wait_errors[ticket.tier].learn(seconds - ticket.predicted_s)
 
     def answered(self, ticket: Ticket, now: float) -> None:
         """Learn from a whole answer."""
--- a/packages/endive_core/src/endive_core/backlogs.py
+++ b/packages/endive_core/src/endive_core/backlogs.py
@@ -14,14 +14,14 @@
 
 from collections.abc import Mapping
 
-MOST_TOLD = 16
+MAX_SERVERS_SENT = 16
 """Servers in one telling, those with most tokens: some 300 bytes of a datagram."""
 
-LEAST_TOKENS = 500.0
+MIN_TOKENS_SENT = 500.0
 """Tokens at a server from which it is told: ten milliseconds of one, less than what a
 telling is late."""
 
-FORGOTTEN_S = 3.0
+PEER_EXPIRY_S = 3.0
 """Time after which what a node told counts no more, seconds: three tellings among a
 hundred nodes. A node that is gone no longer waits for its prompts."""
 
@@ -36,9 +36,9 @@
     def hear(self, node: str, tokens: Mapping[str, float], now: float) -> None:
         """Take over the tokens by server that another node waits for."""
         for server in self.by_node.get(node, set()) - tokens.keys():
-            told = self.by_server[server]
-            del told[node]
-            if not told:
+            by_node_tokens = self.by_server[server]
+            del by_node_tokens[node]
+            if not by_node_tokens:
                 del self.by_server[server]
         for server, count in tokens.items():
             self.by_server.setdefault(server, {})[node] = (count, now)
@@ -46,9 +46,9 @@
 
     def add(self, node: str, server: str, tokens: float, now: float) -> None:
         """Count a prompt that another node has just sent; its next telling has it."""
-        told = self.by_server.setdefault(server, {})
-        before, _ = told.get(node, (0.0, now))
-        told[node] = (before + tokens, now)
+        by_node_tokens = self.by_server.setdefault(server, {})
+        before, _ = by_node_tokens.get(node, (0.0, now))
+        by_node_tokens[node] = (before + tokens, now)
         self.by_node.setdefault(node, set()).add(server)
 
     def tokens(self, server: str, now: float, tokens_per_s: float) -> float:
@@ -60,21 +60,23 @@
             The server's prefill rate. It works for all nodes in turn, so the time since
             they told counts once for all.
         """
-        told = self.by_server.get(server)
-        if not told:
+        by_node_tokens = self.by_server.get(server)
+        if not by_node_tokens:
             return 0.0
-        recent = [entry for entry in told.values() if now - entry[1] < FORGOTTEN_S]
+        recent = [
+            entry for entry in by_node_tokens.values() if now - entry[1] < PEER_EXPIRY_S
+        ]
         if not recent:
             return 0.0
         total = sum(count for count, _ in recent)
-        age_s = sum(now - heard_at for _, heard_at in recent) / len(recent)
+        age_s = sum(now - received_at for _, received_at in recent) / len(recent)
         return max(0.0, total - age_s * tokens_per_s)
 
 
 def told_tokens(tokens: Mapping[str, float]) -> dict[str, float]:
     """Return what to tell of this node's own tokens by server."""
-    large = {name: count for name, count in tokens.items() if count >= LEAST_TOKENS}
-    if len(large) <= MOST_TOLD:
+    large = {name: count for name, count in tokens.items() if count >= MIN_TOKENS_SENT}
+    if len(large) <= MAX_SERVERS_SENT:
         return large
-    most = sorted(large, key=large.__getitem__, reverse=True)[:MOST_TOLD]
+    most = sorted(large, key=large.__getitem__, reverse=True)[:MAX_SERVERS_SENT]
     return {name: large[name] for name in most}
--- a/packages/endive_core/src/endive_core/calls.py
+++ b/packages/endive_core/src/endive_core/calls.py
@@ -128,7 +128,7 @@
     stage: Stage = Stage.QUEUED
     attempt: int = 0
     server: str = ""
-    load: object = None
+    server_load: object = None
     dispatched_at: float = 0.0
     first_token_at: float | None = None
     tokens: int = 0
--- a/packages/endive_core/src/endive_core/counting.py
+++ b/packages/endive_core/src/endive_core/counting.py
@@ -21,12 +21,12 @@
 
 from endive_core.hashing import rendezvous_choice
 
-TELL_BELOW = 0.5
+BROADCAST_BELOW_SHARE = 0.5
 """Part of the allowance below which the others are told. Until then a hundred nodes
 that each believe it is whole can't pass it: what is on the way to the counting node is
 what was admitted within some milliseconds."""
 
-TELL_EACH = 0.125
+BROADCAST_STEP_SHARE = 0.125
 """Part of the allowance that may be spent untold once it is that low. At most eight
 rounds of datagrams then go out for each allowance that is spent."""
 
@@ -97,8 +97,8 @@
             Units of the allowance that are left, and what it holds when full.
         """
         by_node = self.untold.get(organisation)
-        if not by_node or left >= TELL_BELOW * most:
+        if not by_node or left >= BROADCAST_BELOW_SHARE * most:
             return []
-        if sum(by_node.values()) < TELL_EACH * most:
+        if sum(by_node.values()) < BROADCAST_STEP_SHARE * most:
             return []
         return list(self.untold.pop(organisation))
--- a/packages/endive_core/src/endive_core/metering.py
+++ b/packages/endive_core/src/endive_core/metering.py
@@ -23,8 +23,8 @@
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
-        self.own: dict[int, Counter[str]] = defaultdict(Counter)
-        self.others: dict[tuple[str, int], dict[int, dict[str, int]]] = {}
+        self.own_counts: dict[int, Counter[str]] = defaultdict(Counter)
+        self.peer_counts: dict[tuple[str, int], dict[int, dict[str, int]]] = {}
 
     def window_of(self, true_time: float) -> int:
         """Return the number of the window that holds `true_time`."""
@@ -33,26 +33,29 @@
     def begin(self, organisation: str, true_time: float) -> None:
         """Count a request that a server began at `true_time`."""
         window = self.window_of(true_time)
-        self.own[window][organisation] += 1
-        for old in sorted(self.own)[:-WINDOWS_KEPT]:
-            del self.own[old]
+        self.own_counts[window][organisation] += 1
+        for old in sorted(self.own_counts)[:-WINDOWS_KEPT]:
+            del self.own_counts[old]
 
     def tell(self) -> dict[int, dict[str, int]]:
         """Return this node's counts of the last two windows."""
-        return {window: dict(self.own[window]) for window in sorted(self.own)[-2:]}
+        return {
+            window: dict(self.own_counts[window])
+            for window in sorted(self.own_counts)[-2:]
+        }
 
     def hear(
         self, node: str, incarnation: int, counts: dict[int, dict[str, int]]
     ) -> None:
         """Take over another node's counts; they only grow within one incarnation."""
-        known = self.others.setdefault((node, incarnation), {})
+        known = self.peer_counts.setdefault((node, incarnation), {})
         known.update(counts)
         for old in sorted(known)[:-WINDOWS_KEPT]:
             del known[old]
 
     def total(self, window: int) -> dict[str, int]:
         """Return all nodes' counts of `window` by organisation."""
-        total = Counter(self.own.get(window, {}))
-        for counts in self.others.values():
+        total = Counter(self.own_counts.get(window, {}))
+        for counts in self.peer_counts.values():
             total.update(counts.get(window, {}))
         return dict(total)
--- a/packages/endive_core/src/endive_core/queueing.py
+++ b/packages/endive_core/src/endive_core/queueing.py
@@ -16,14 +16,14 @@
 class OrganisationQueue:
     """The queued tickets of one organisation at one priority, oldest first."""
 
-    __slots__ = ("debt", "listed", "organisation", "share", "tag", "tickets", "tokens")
+    __slots__ = ("debt", "in_heap", "organisation", "share", "tag", "tickets", "tokens")
 
     def __init__(self, organisation: str, share: float) -> None:
         self.organisation = organisation
         self.share = share
         self.tag = 0.0
         self.debt = 0.0
-        self.listed = False
+        self.in_heap = False
         self.tickets: deque[Ticket] = deque()
         self.tokens = 0.0
 
@@ -44,14 +44,14 @@
 class RankQueue:
     """All organisations' queues of one priority.
 
-    ``virtual`` is the start tag of the ticket that went last, in tokens by share: an
-    organisation that was idle starts there, so it can't save up its idle time.
+    ``virtual_time`` is the start tag of the ticket dequeued last, in tokens divided by
+    share. An organisation that was idle starts there, so idle time earns no credit.
     """
 
     def __init__(self) -> None:
         self.queues: dict[str, OrganisationQueue] = {}
         self.heap: list[tuple[float, str]] = []
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.tokens = 0.0
 
     def queue_of(self, organisation: str, share: float) -> OrganisationQueue:
@@ -65,10 +65,10 @@
     def push(self, ticket: Ticket, share: float, *, front: bool) -> None:
         """Queue `ticket`; at its organisation's head if `front`."""
         queue = self.queue_of(ticket.call.organisation, share)
-        if not queue.listed:
+        if not queue.in_heap:
             queue.charge(0.0)
-            queue.tag = max(queue.tag, self.virtual)
-            queue.listed = True
+            queue.tag = max(queue.tag, self.virtual_time)
+            queue.in_heap = True
             heapq.heappush(self.heap, (queue.tag, queue.organisation))
         if front:
             queue.tickets.appendleft(ticket)
@@ -97,23 +97,23 @@
             queue.skip_ended()
             if queue.tickets:
                 return
-            self._unlist(queue)
+            self._remove_from_heap(queue)
 
     def pop(self, ticket: Ticket) -> None:
         """Remove `ticket`, which is the head of its organisation's queue."""
         queue = self.queues[ticket.call.organisation]
         queue.tickets.popleft()
-        self.forget(ticket)
-        self.virtual = max(self.virtual, queue.tag)
-        self._unlist(queue)
+        self.subtract_tokens(ticket)
+        self.virtual_time = max(self.virtual_time, queue.tag)
+        self._remove_from_heap(queue)
         queue.charge(ticket.cost)
         queue.skip_ended()
         if queue.tickets:
-            queue.listed = True
+            queue.in_heap = True
             heapq.heappush(self.heap, (queue.tag, queue.organisation))
 
-    def _unlist(self, queue: OrganisationQueue) -> None:
-        queue.listed = False
+    def _remove_from_heap(self, queue: OrganisationQueue) -> None:
+        queue.in_heap = False
         entry = (queue.tag, queue.organisation)
         if self.heap[0] == entry:
             heapq.heappop(self.heap)
@@ -121,7 +121,7 @@
             self.heap.remove(entry)
             heapq.heapify(self.heap)
 
-    def forget(self, ticket: Ticket) -> None:
+    def subtract_tokens(self, ticket: Ticket) -> None:
         """Take the tokens of a ticket that leaves the queue off the sums."""
         self.queues[ticket.call.organisation].tokens -= ticket.cost
         self.tokens -= ticket.cost
@@ -129,7 +129,7 @@
     def tokens_ahead(self, organisation: str, share: float) -> float:
         """Return the tokens that go before a new ticket of `organisation`."""
         queue = self.queue_of(organisation, share)
-        start = max(queue.tag, self.virtual) + queue.tokens / share
+        start = max(queue.tag, self.virtual_time) + queue.tokens / share
         ahead = queue.tokens
         for _, name in self.heap:
             other = self.queues[name]
@@ -193,7 +193,7 @@
 
     def cancel(self, ticket: Ticket) -> None:
         """Forget a queued ticket; the caller marks it as ended."""
-        self.ranks[ticket.call.rank].forget(ticket)
+        self.ranks[ticket.call.rank].subtract_tokens(ticket)
         self.length -= 1
 
     def settle(self, ticket: Ticket, tokens: float) -> None:
--- a/packages/endive_core/src/endive_core/retrying.py
+++ b/packages/endive_core/src/endive_core/retrying.py
@@ -11,7 +11,7 @@
 from endive_core.policy import Policy
 from endive_core.servers import Random
 
-LOST_SHARE = 0.5
+IN_FLIGHT_RETRY_SHARE = 0.5
 """Part of the calls in flight that may be sent again at once: a zone's worth and more
 may break together, each stream once. Beyond it only successes earn retries."""
 
@@ -19,7 +19,7 @@
 DEFAULT_RETRY_RATIO = 0.1
 """Retries earned by each success where a deployment declares nothing else."""
 
-FLEET_MARGIN = 0.8
+FLEET_BUDGET_SHARE = 0.8
 """Part of the fleet's repeats that is used: requests and repeats arrive at a server
 some milliseconds after they are counted, and a node that restarts forgets its own."""
 
@@ -48,7 +48,7 @@
 
     def spend(self, *, in_flight: int) -> bool:
         """Take one retry; return whether there was one."""
-        if self.spent + 1 > self.burst + LOST_SHARE * in_flight:
+        if self.spent + 1 > self.burst + IN_FLIGHT_RETRY_SHARE * in_flight:
             return False
         self.spent += 1
         return True
@@ -76,7 +76,7 @@
         self.slack = slack
         self.window_s = window_s
         self.requests: deque[float] = deque()
-        self.repeats: deque[float] = deque()
+        self.retries: deque[float] = deque()
 
     def request(self, now: float) -> None:
         """Count a caller's request."""
@@ -86,11 +86,11 @@
     def spend(self, now: float, *, nodes: int) -> bool:
         """Take one repeat; return whether there was one."""
         self._forget(self.requests, now)
-        self._forget(self.repeats, now)
+        self._forget(self.retries, now)
         allowed = self.ratio * len(self.requests) + self.slack / max(1, nodes)
-        if len(self.repeats) + 1 > FLEET_MARGIN * allowed:
+        if len(self.retries) + 1 > FLEET_BUDGET_SHARE * allowed:
             return False
-        self.repeats.append(now)
+        self.retries.append(now)
         return True
 
     def _forget(self, times: deque[float], now: float) -> None:
--- a/packages/endive_core/src/endive_core/returning.py
+++ b/packages/endive_core/src/endive_core/returning.py
@@ -7,19 +7,19 @@
 
 from endive_core.hashing import shard_of
 
-TURN_S = 0.5
+WINDOW_S = 0.5
 """Length of the window in which a refused call has its turn, seconds: longer than
 clocks differ and networks delay."""
 
-TURN_PERIOD = 8
+PERIOD_WINDOWS = 8
 """Windows between two turns of one call: a caller waits 2 s longer on average than the
 line demands, and one first call in eight comes in its turn by chance."""
 
-LATE_PART = 0.5
+LATE_WINDOW_SHARE = 0.5
 """Part of the next window in which a caller who is late still has its turn."""
 
 
-class ReturnTimes:
+class RetryWindows:
     """Times to come back, handed out so that those who keep them are let in.
 
     The load this is for: thousands refused within one second, or more work than
@@ -29,7 +29,7 @@
     costs, and while the line is not empty a call may join the queue only in its turn.
 
     A caller may come back to another node, which has not heard of it. So its turns
-    follow from its fingerprint: one window in `TURN_PERIOD`, the same on every node.
+    follow from its fingerprint: one window in `PERIOD_WINDOWS`, the same on every node.
     Nobody has to remember or to be told anything, and only one first call in a few
     comes in its turn by chance.
     """
@@ -39,18 +39,20 @@
         self.max_s = max_s
         self.ends_at: dict[tuple[str, int], float] = {}
 
-    def may_enter(self, key: tuple[str, int], fingerprint: str, now: float) -> bool:
+    def may_enqueue(self, key: tuple[str, int], fingerprint: str, now: float) -> bool:
         """Return whether a call may join the queue without jumping the line."""
         if self.ends_at.get(key, 0.0) <= now:
             return True
-        return is_turn(fingerprint, now)
+        return in_window(fingerprint, now)
 
-    def jumped(self, key: tuple[str, int], now: float, *, cost_s: float) -> None:
+    def enqueued_early(
+        self, key: tuple[str, int], now: float, *, cost_s: float
+    ) -> None:
         """Move the line back for a call that found room out of its turn."""
         if self.ends_at.get(key, 0.0) > now:
             self.ends_at[key] += cost_s
 
-    def give(
+    def assign(
         self,
         key: tuple[str, int],
         fingerprint: str,
@@ -75,28 +77,28 @@
         earliest = now + max(self.min_s, excess_s)
         end = max(earliest, self.ends_at.get(key, 0.0) + cost_s)
         self.ends_at[key] = min(end, now + self.max_s)
-        return min(next_turn(fingerprint, end) - now, self.max_s)
+        return min(next_window_time(fingerprint, end) - now, self.max_s)
 
 
-def is_turn(fingerprint: str, now: float) -> bool:
+def in_window(fingerprint: str, now: float) -> bool:
     """Return whether a call with `fingerprint` has its turn at `now`."""
-    window = int(now // TURN_S)
-    offset = int(now % TURN_S < TURN_S * LATE_PART)
-    turn = _turn(fingerprint)
-    return turn in (window % TURN_PERIOD, (window - offset) % TURN_PERIOD)
+    window = int(now // WINDOW_S)
+    offset = int(now % WINDOW_S < WINDOW_S * LATE_WINDOW_SHARE)
+    own_window = _window_of(fingerprint)
+    return own_window in (window % PERIOD_WINDOWS, (window - offset) % PERIOD_WINDOWS)
 
 
-def next_turn(fingerprint: str, start: float) -> float:
+def next_window_time(fingerprint: str, start: float) -> float:
     """Return the first time from `start` on at which a call has its turn.
 
     Spread over the window, so that not all of one turn come at its start.
     """
-    window = int(start // TURN_S)
-    if (_turn(fingerprint) - window) % TURN_PERIOD == 0:
+    window = int(start // WINDOW_S)
+    if (_window_of(fingerprint) - window) % PERIOD_WINDOWS == 0:
         return start
-    window += (_turn(fingerprint) - window) % TURN_PERIOD
-    return (window + start % TURN_S / TURN_S) * TURN_S
+    window += (_window_of(fingerprint) - window) % PERIOD_WINDOWS
+    return (window + start % WINDOW_S / WINDOW_S) * WINDOW_S
 
 
-def _turn(fingerprint: str) -> int:
-    return shard_of(fingerprint, TURN_PERIOD)
+def _window_of(fingerprint: str) -> int:
+    return shard_of(fingerprint, PERIOD_WINDOWS)
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -25,7 +25,7 @@
 from endive_core.servers import Random, ServerLoad, ServerSet
 from endive_core.service_types import ServiceType
 from endive_core.shifting import Shift, plan_shifts
-from endive_core.usage import Usage
+from endive_core.usage import SlotUsage
 
 if TYPE_CHECKING:
     from endive_core.resources import Deployment, Organisation
@@ -69,7 +69,7 @@
         self.outliers = OutlierDetector(policy, self.servers)
         self.queue = FairQueue()
         self.crashes = crashes or CrashTable.from_policy(policy)
-        self.usage = Usage(self.servers, self.queue)
+        self.usage = SlotUsage(self.servers, self.queue)
         self.admission = Admission(
             policy, self.servers, self.queue, self.usage, self.crashes, service_type
         )
@@ -176,14 +176,14 @@
                 continue
             server = self._server_for(ticket, now)
             if server is not None:
-                server = self._in_time(ticket, server, now)
+                server = self._server_in_time(ticket, server, now)
             if server is not None:
                 self.queue.pop(ticket)
                 self._dispatched(ticket, server, now)
                 return Dispatch(ticket, server.id)
         return None
 
-    def _in_time(
+    def _server_in_time(
         self, ticket: Ticket, server: ServerLoad, now: float
     ) -> ServerLoad | None:
         """Return `server`, a sooner one if it would be late, or give the call up."""
@@ -226,7 +226,7 @@
             self.admission.waited(ticket, now - ticket.accepted_at)
         ticket.stage = Stage.DISPATCHED
         ticket.server = server.id
-        ticket.load = server
+        ticket.server_load = server
         ticket.attempt += 1
         ticket.dispatched_at = now
         ticket.first_token_at = None
@@ -235,7 +235,7 @@
         )
         self.placement.pace(server, ticket.uncached_tokens, now)
         server.starting_suspects += ticket.suspect
-        self.usage.take(ticket.call.organisation)
+        self.usage.acquire(ticket.call.organisation)
         self.running.setdefault(server.id, set()).add(ticket)
         self.servers.note(server, 1, now)
         if ticket.call.blocks:
@@ -249,10 +249,10 @@
             return
         ticket.stage = Stage.STREAMING
         ticket.first_token_at = now
-        server = self._load_of(ticket)
+        server = self._server_load_of(ticket)
         if server is not None:
             self.servers.answered(server)
-            self._no_longer_starting(ticket, server)
+            self._prefill_ended(ticket, server)
         self.first_tokens.learn(
             ticket,
             server,
@@ -260,7 +260,7 @@
             tokens_per_s=self.admission.prefill_tokens_per_s(),
         )
 
-    def _no_longer_starting(self, ticket: Ticket, server: ServerLoad) -> None:
+    def _prefill_ended(self, ticket: Ticket, server: ServerLoad) -> None:
         self.servers.note_prompt(
             server, -1, ticket.uncached_tokens, yields=ticket.yields
         )
@@ -304,12 +304,12 @@
         crashed : str
             If the server crashed: its name with the number of its incarnation.
         """
-        server = self._load_of(ticket)
+        server = self._server_load_of(ticket)
         self.failures.suspect(ticket, crashed, now)
         if reason is not RetryReason.SERVER_BUSY:
             ticket.avoid.add(ticket.server)
         self._release(ticket, now)
-        self._blame(server, now, reason, started=started)
+        self._count_server_failure(server, now, reason, started=started)
         verdict = self.failures.verdict(
             ticket, now, started=started, max_attempts=max_attempts
         )
@@ -328,9 +328,11 @@
         Most requests may not be sent twice. A server that fails them would else look
         as good as the others, and better by how soon it is idle again.
         """
-        self._blame(self._load_of(ticket), now, reason, started=started)
+        self._count_server_failure(
+            self._server_load_of(ticket), now, reason, started=started
+        )
 
-    def _blame(
+    def _count_server_failure(
         self,
         server: ServerLoad | None,
         now: float,
@@ -371,19 +373,19 @@
         self.retries[RetryReason.SERVER_LEAVING] += 1
         self.requeue(ticket)
 
-    def _load_of(self, ticket: Ticket) -> ServerLoad | None:
+    def _server_load_of(self, ticket: Ticket) -> ServerLoad | None:
         """Return the server of the attempt under way, unless it went meanwhile."""
         server = self.servers.servers.get(ticket.server)
-        return server if server is ticket.load else None
+        return server if server is ticket.server_load else None
 
     def _release(self, ticket: Ticket, now: float) -> None:
         if not ticket.server:  # released already: cancelled while waiting to retry
             return
-        self.usage.give_back(ticket.call.organisation)
+        self.usage.release(ticket.call.organisation)
         self.running.get(ticket.server, set()).discard(ticket)
-        server = self._load_of(ticket)
+        server = self._server_load_of(ticket)
         if server is not None:
             if ticket.stage is Stage.DISPATCHED:
-                self._no_longer_starting(ticket, server)
+                self._prefill_ended(ticket, server)
             self.servers.note(server, -1, now)
         ticket.server = ""
--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -20,30 +20,30 @@
 limit is left to it, so that the sides of a cut together stay within the limit. Four
 tellings may be lost in a row before that."""
 
-FORGOTTEN_S = 30.0
+PEER_EXPIRY_S = 30.0
 """A node unheard for longer is taken to be gone for good, and its part is divided.
 Longer than the cuts of up to 12 s that the platform's figures speak of."""
 
-SLACK_PART = 0.4
+SLACK_BURST_SHARE = 0.4
 """Part of the operators' tolerance that is used as further burst. The rest covers what
 several nodes admit within one telling, a quarter of a second of all that is asked."""
 
-HEAD_START_S = 1.0
+INITIAL_CREDIT_S = 1.0
 """Seconds of the rate that a node that starts has to spend at once. What was spent a
 moment before isn't known; but nothing was while all nodes were down, and one that
 starts alone is one of several."""
 
-YOUNG_S = 3.0
+START_SKEW_S = 3.0
 """Seconds by which a node heard for the first time may be older than this one so that
 all it has spent counts; of one that is older still only what comes now. After a power
 loss all nodes start within a second, and are heard within two more where they are a
 hundred."""
 
-SMALL_PART = 0.01
+SMALL_REQUEST_SHARE = 0.01
 """Part of a limit's burst up to which a request is small: a booking has 200 units where
 a prompt has up to 23,000."""
 
-KEPT_PART = 0.05
+RESERVED_RATE_SHARE = 0.05
 """Part of each limit's rate that small requests may take though nothing is left,
 divided among the nodes. It is charged like all else, so the rate is kept; what the
 limit is below zero grows by this much a second at the most, half of what operators
@@ -66,7 +66,7 @@
 
     node: str
     incarnation: int
-    tellings: int
+    sequence: int
     age_s: float
 
 
@@ -86,7 +86,7 @@
     spent: dict[str, float] = field(default_factory=dict)
     noted: dict[str, tuple[int, float]] = field(default_factory=dict)
     incarnation: int = 0
-    heard_at: float = 0.0
+    last_seen_at: float = 0.0
     born_at: float = 0.0
 
 
@@ -130,72 +130,72 @@
     def __init__(self, now: float = 0.0, *, slack: float = 0.0) -> None:
         self.slack = slack
         self.silent_s = SILENT_S
-        self.begun_at = now - HEAD_START_S
+        self.credit_since = now - INITIAL_CREDIT_S
         self.spent: dict[str, float] = {}
         self.peers: dict[str, PeerSpending] = {}
         self.allowances: dict[str, Allowance] = {}
-        self.kept: dict[str, Allowance] = {}
+        self.small_request_allowances: dict[str, Allowance] = {}
 
     def tell(self) -> dict[str, float]:
         """Return what this node has spent since it started, by organisation."""
         return self.spent
 
-    def hear(self, spender: Spender, spent: Mapping[str, float], now: float) -> None:
+    def hear(self, origin: Spender, spent: Mapping[str, float], now: float) -> None:
         """Take over what another node has spent since it started."""
-        peer = self._known(spender)
+        peer = self._current_peer(origin)
         if peer is None:
-            before = {} if self._is_young(spender, now) else dict(spent)
-            peer = self._learn(spender, before, now)
-        peer.heard_at = now
+            before = {} if self._started_recently(origin, now) else dict(spent)
+            peer = self._reset_peer(origin, before, now)
+        peer.last_seen_at = now
         for organisation, units in spent.items():
             told_at, noted = peer.noted.get(organisation, (0, 0.0))
-            if spender.tellings <= told_at:
+            if origin.sequence <= told_at:
                 units = max(units, noted)
-            self._take(peer, organisation, units)
+            self._charge(peer, organisation, units)
 
     def note(
-        self, spender: Spender, organisation: str, units: float, now: float
+        self, origin: Spender, organisation: str, units: float, now: float
     ) -> float:
         """Take over what another node has spent of one limit; return what is new of it.
 
         A node that is not known and has run for long has spent much that must not count
         any more, so its first telling of everything is waited for.
         """
-        peer = self._known(spender)
+        peer = self._current_peer(origin)
         if peer is None:
-            if not self._is_young(spender, now):
+            if not self._started_recently(origin, now):
                 return 0.0
-            peer = self._learn(spender, {}, now)
-        newest = (spender.tellings, units)
+            peer = self._reset_peer(origin, {}, now)
+        newest = (origin.sequence, units)
         if newest <= peer.noted.get(organisation, (0, 0.0)):
             return 0.0
         peer.noted[organisation] = newest
-        return self._take(
+        return self._charge(
             peer, organisation, max(units, peer.spent.get(organisation, 0.0))
         )
 
-    def _known(self, spender: Spender) -> PeerSpending | None:
-        peer = self.peers.get(spender.node)
-        if peer is None or peer.incarnation != spender.incarnation:
+    def _current_peer(self, origin: Spender) -> PeerSpending | None:
+        peer = self.peers.get(origin.node)
+        if peer is None or peer.incarnation != origin.incarnation:
             return None
         return peer
 
-    def _learn(
-        self, spender: Spender, spent: dict[str, float], now: float
+    def _reset_peer(
+        self, origin: Spender, spent: dict[str, float], now: float
     ) -> PeerSpending:
         peer = PeerSpending(
             spent,
-            incarnation=spender.incarnation,
-            heard_at=now,
-            born_at=now - spender.age_s,
+            incarnation=origin.incarnation,
+            last_seen_at=now,
+            born_at=now - origin.age_s,
         )
-        self.peers[spender.node] = peer
+        self.peers[origin.node] = peer
         return peer
 
-    def _is_young(self, spender: Spender, now: float) -> bool:
-        return now - spender.age_s >= self.begun_at - YOUNG_S
+    def _started_recently(self, origin: Spender, now: float) -> bool:
+        return now - origin.age_s >= self.credit_since - START_SKEW_S
 
-    def _take(self, peer: PeerSpending, organisation: str, units: float) -> float:
+    def _charge(self, peer: PeerSpending, organisation: str, units: float) -> float:
         """Take off what a node has spent since it was last heard; return it."""
         new = units - peer.spent.get(organisation, 0.0)
         peer.spent[organisation] = units
@@ -209,7 +209,7 @@
         It gets the usual time to be heard: after a power loss all nodes start within
         a second, and each alone would refuse most callers until then.
         """
-        self.peers.setdefault(node, PeerSpending(heard_at=now))
+        self.peers.setdefault(node, PeerSpending(last_seen_at=now))
 
     def leave(self, node: str) -> None:
         """Divide the part of a node that said it has stopped."""
@@ -218,13 +218,13 @@
     def forget_silent(self, now: float) -> None:
         """Divide the parts of nodes that are gone for good."""
         for node, peer in list(self.peers.items()):
-            if now - peer.heard_at > FORGOTTEN_S:
+            if now - peer.last_seen_at > PEER_EXPIRY_S:
                 del self.peers[node]
 
     def part(self, now: float) -> float:
         """Return the part of each limit for the nodes that hear each other."""
         silent = sum(
-            now - peer.heard_at > self.silent_s for peer in self.peers.values()
+            now - peer.last_seen_at > self.silent_s for peer in self.peers.values()
         )
         nodes = len(self.peers) + 1
         return (nodes - silent) / nodes
@@ -240,12 +240,12 @@
             The whole limit, of all nodes together.
         """
         left, _ = self.left(organisation, now, rate=rate, burst=burst)
-        if left <= 0 and not self._take_kept(organisation, units, now, rate, burst):
-            return self._until_some(left, rate, now)
+        if left <= 0 and not self._take_reserved(organisation, units, now, rate, burst):
+            return self._wait_until_positive(left, rate, now)
         self.spend(organisation, units)
         return 0.0
 
-    def _take_kept(
+    def _take_reserved(
         self, organisation: str, units: float, now: float, rate: float, burst: float
     ) -> bool:
         """Return whether a small request may pass though nothing is left, and take it.
@@ -257,19 +257,21 @@
         for them 0 and 6 bookings a day were refused instead of 40 and 65 (two days, one
         play each).
         """
-        if units > SMALL_PART * burst:
+        if units > SMALL_REQUEST_SHARE * burst:
             return False
-        part = KEPT_PART / (len(self.peers) + 1)
-        kept = self.kept.setdefault(organisation, Allowance(updated_at=now - 1.0))
-        kept.refill(now, rate=part * rate, burst=max(units, part * burst))
-        if kept.units < units:
+        part = RESERVED_RATE_SHARE / (len(self.peers) + 1)
+        reserved = self.small_request_allowances.setdefault(
+            organisation, Allowance(updated_at=now - 1.0)
+        )
+        reserved.refill(now, rate=part * rate, burst=max(units, part * burst))
+        if reserved.units < units:
             return False
-        kept.units -= units
+        reserved.units -= units
         return True
 
     def grant(
         self,
-        spender: Spender,
+        origin: Spender,
         organisation: str,
         total: float,
         now: float,
@@ -291,10 +293,10 @@
         """
         left, _ = self.left(organisation, now, rate=rate, burst=burst)
         if left <= 0:
-            return self._until_some(left, rate, now)
-        return 0.0 if self.note(spender, organisation, total, now) > 0 else None
+            return self._wait_until_positive(left, rate, now)
+        return 0.0 if self.note(origin, organisation, total, now) > 0 else None
 
-    def _until_some(self, left: float, rate: float, now: float) -> float:
+    def _wait_until_positive(self, left: float, rate: float, now: float) -> float:
         return 0.001 - left / (rate * self.part(now))
 
     def left(
@@ -302,7 +304,7 @@
     ) -> tuple[float, float]:
         """Return the units left of a limit, and what it holds when full."""
         part = self.part(now)
-        most = (burst + SLACK_PART * self.slack) * part
+        most = (burst + SLACK_BURST_SHARE * self.slack) * part
         allowance = self._allowance(organisation)
         allowance.refill(now, rate=rate * part, burst=most)
         return allowance.units, most
@@ -318,5 +320,5 @@
 
     def _allowance(self, organisation: str) -> Allowance:
         return self.allowances.setdefault(
-            organisation, Allowance(updated_at=self.begun_at)
+            organisation, Allowance(updated_at=self.credit_since)
         )
--- a/packages/endive_core/src/endive_core/usage.py
+++ b/packages/endive_core/src/endive_core/usage.py
@@ -10,12 +10,12 @@
 from endive_core.queueing import FairQueue
 from endive_core.servers import ServerSet
 
-MOST_WITHIN_SHARE = 0.5
+MAX_ORGANISATION_SHARE = 0.5
 """Part of the slots up to which one organisation is within its share, also when it is
 alone: beyond it, it leaves the reserve free for others who may call at any moment."""
 
 
-class Usage:
+class SlotUsage:
     """Slots held by each organisation, and its tier.
 
     Callers meet it as the difference between an organisation within its share, which
@@ -27,11 +27,11 @@
         self.queue = queue
         self.held: Counter[str] = Counter()
 
-    def take(self, organisation: str) -> None:
+    def acquire(self, organisation: str) -> None:
         """Count a slot taken."""
         self.held[organisation] += 1
 
-    def give_back(self, organisation: str) -> None:
+    def release(self, organisation: str) -> None:
         """Count a slot given back."""
         self.held[organisation] -= 1
         if not self.held[organisation]:
@@ -46,7 +46,7 @@
         """
         if call.bulk:
             return Tier.BULK
-        part = min(MOST_WITHIN_SHARE, self._share_now(call.organisation))
+        part = min(MAX_ORGANISATION_SHARE, self._current_share(call.organisation))
         if self.held[call.organisation] >= max(1.0, part * self.slots()):
             return Tier.OVER_SHARE
         return Tier.WITHIN_SHARE
@@ -58,14 +58,14 @@
         """
         slots = self.slots()
         held = self.servers.own_total - self.held[organisation]
-        return max(1.0, slots - held, slots * self._share_now(organisation))
+        return max(1.0, slots - held, slots * self._current_share(organisation))
 
     def slots(self) -> float:
         """Return this node's part of all slots."""
         part = max(self.servers.share, 1 / self.servers.nodes)
         return max(self.servers.own_total, self.servers.slots_total * part)
 
-    def _share_now(self, organisation: str) -> float:
+    def _current_share(self, organisation: str) -> float:
         """Return the organisation's share among those that hold slots now."""
         own = self.queue.share(organisation)
         others = sum(
--- a/packages/endive_core/tests/test_backlogs.py
+++ b/packages/endive_core/tests/test_backlogs.py
@@ -3,7 +3,7 @@
 
 import pytest
 from core_builders import call, dispatch_all, view
-from endive_core.backlogs import FORGOTTEN_S, MOST_TOLD, Backlogs, told_tokens
+from endive_core.backlogs import MAX_SERVERS_SENT, PEER_EXPIRY_S, Backlogs, told_tokens
 from endive_core.calls import Call
 from endive_core.policy import Policy
 from endive_core.scheduler import Scheduler
@@ -41,7 +41,7 @@
     long as nobody says otherwise."""
     made = Backlogs()
     made.hear("a", {"s1": 1e9}, 10.0)
-    assert made.tokens("s1", 10.0 + FORGOTTEN_S, RATE) == 0.0
+    assert made.tokens("s1", 10.0 + PEER_EXPIRY_S, RATE) == 0.0
 
 
 def test_a_prompt_told_at_once_counts_until_the_next_telling():
@@ -60,8 +60,8 @@
 def test_few_and_large_ones_are_told():
     own = {f"s{n}": 1_000.0 + n for n in range(100)} | {"small": 10.0}
     told = told_tokens(own)
-    assert len(told) == MOST_TOLD
-    assert min(told.values()) == 1_000.0 + 100 - MOST_TOLD
+    assert len(told) == MAX_SERVERS_SENT
+    assert min(told.values()) == 1_000.0 + 100 - MAX_SERVERS_SENT
     assert told_tokens({"small": 10.0}) == {}
 
 
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -8,7 +8,7 @@
     counting_node,
     may_spend_unasked,
 )
-from endive_core.sharing import HEAD_START_S, SharedLimits, Spender
+from endive_core.sharing import INITIAL_CREDIT_S, SharedLimits, Spender
 
 RATE, BURST, SLACK = 400.0, 400.0, 800.0
 WINDOW_S = 4.0
@@ -262,7 +262,7 @@
     off at once, it would refuse the organisation's callers for an hour."""
     limits = SharedLimits(0.0)
     assert noted(limits, 1e9, tellings=5000, age_s=3600.0) == 0.0
-    assert limits.wait_s("o", 1.0, HEAD_START_S, rate=RATE, burst=BURST) == 0.0
+    assert limits.wait_s("o", 1.0, INITIAL_CREDIT_S, rate=RATE, burst=BURST) == 0.0
 
 
 @pytest.mark.parametrize(("left", "due"), [(60.0, False), (40.0, True)])
--- a/packages/endive_core/tests/test_metering.py
+++ b/packages/endive_core/tests/test_metering.py
@@ -24,5 +24,5 @@
     for window in range(100):
         made.begin("o", window * 5.0)
         made.hear("a", 1, {window: {"o": 1}})
-    assert len(made.own) == WINDOWS_KEPT
-    assert len(made.others["a", 1]) == WINDOWS_KEPT
+    assert len(made.own_counts) == WINDOWS_KEPT
+    assert len(made.peer_counts["a", 1]) == WINDOWS_KEPT
--- a/packages/endive_core/tests/test_retrying.py
+++ b/packages/endive_core/tests/test_retrying.py
@@ -1,4 +1,4 @@
-from endive_core.retrying import FLEET_MARGIN, FleetRetryBudget
+from endive_core.retrying import FLEET_BUDGET_SHARE, FleetRetryBudget
 
 
 def test_an_outage_does_not_multiply_the_load():
@@ -15,7 +15,7 @@
         budget.request(now)
         repeats += budget.spend(now, nodes=nodes)
     assert repeats <= 0.2 * nodes * requests + 56
-    assert repeats >= FLEET_MARGIN * 0.2 * nodes * requests
+    assert repeats >= FLEET_BUDGET_SHARE * 0.2 * nodes * requests
 
 
 def test_what_is_older_than_the_window_counts_no_more():
--- a/packages/endive_core/tests/test_returning.py
+++ b/packages/endive_core/tests/test_returning.py
@@ -1,12 +1,19 @@
-from endive_core.returning import TURN_PERIOD, TURN_S, ReturnTimes, is_turn, next_turn
+from endive_core.returning import (
+    PERIOD_WINDOWS,
+    WINDOW_S,
+    RetryWindows,
+    in_window,
+    next_window_time,
+)
 
 KEY = ("broker", 0)
 
 
 def times(count, *, cost_s=0.5):
-    line = ReturnTimes(min_s=0.2, max_s=900.0)
+    line = RetryWindows(min_s=0.2, max_s=900.0)
     told = [
-        line.give(KEY, f"f{n}", 0.0, excess_s=0.1, cost_s=cost_s) for n in range(count)
+        line.assign(KEY, f"f{n}", 0.0, excess_s=0.1, cost_s=cost_s)
+        for n in range(count)
     ]
     return line, told
 
@@ -25,19 +32,19 @@
     _, told = times(200)
     other, _ = times(2000)
     for number, at in enumerate(told):
-        assert other.may_enter(KEY, f"f{number}", at + 0.1)
+        assert other.may_enqueue(KEY, f"f{number}", at + 0.1)
 
 
 def test_first_calls_seldom_jump_the_line():
     line, _ = times(1000)
-    entered = sum(line.may_enter(KEY, f"first-{n}", 3.0) for n in range(1000))
-    assert entered < 1000 * 2.5 / TURN_PERIOD
-    assert line.may_enter(("kerloch", 0), "first", 3.0)
+    entered = sum(line.may_enqueue(KEY, f"first-{n}", 3.0) for n in range(1000))
+    assert entered < 1000 * 2.5 / PERIOD_WINDOWS
+    assert line.may_enqueue(("kerloch", 0), "first", 3.0)
 
 
 def test_turn_comes_once_in_a_period():
     for number in range(100):
         start = number * 0.7
-        turn = next_turn(f"f{number}", start)
-        assert start <= turn < start + TURN_S * TURN_PERIOD
-        assert is_turn(f"f{number}", turn)
+        turn = next_window_time(f"f{number}", start)
+        assert start <= turn < start + WINDOW_S * PERIOD_WINDOWS
+        assert in_window(f"f{number}", turn)
--- a/packages/endive_core/tests/test_scheduler.py
+++ b/packages/endive_core/tests/test_scheduler.py
@@ -3,7 +3,7 @@
 from core_builders import call, dispatch_all, scheduler
 from endive_core.calls import Refusal, Retry, Stage
 from endive_core.exceptions import ErrorKind, RetryReason
-from endive_core.returning import TURN_PERIOD, TURN_S, is_turn
+from endive_core.returning import PERIOD_WINDOWS, WINDOW_S, in_window
 
 
 def test_call_is_sent_to_a_server_with_room():
@@ -28,8 +28,8 @@
     refused = [(c, a) for c, a in answers if isinstance(a, Refusal)]
     times = [refusal.retry_after_s for _, refusal in refused]
     assert len(times) > 150
-    assert all(is_turn(c.fingerprint, a.retry_after_s) for c, a in refused)
-    period = TURN_S * TURN_PERIOD
+    assert all(in_window(c.fingerprint, a.retry_after_s) for c, a in refused)
+    period = WINDOW_S * PERIOD_WINDOWS
     assert all(later > earlier - period for earlier, later in pairwise(times))
     assert min(times[-20:]) > max(times[:20])
     assert made.refusals[ErrorKind.OVERLOADED] == len(times)
--- a/packages/endive_core/tests/test_sharing.py
+++ b/packages/endive_core/tests/test_sharing.py
@@ -1,6 +1,6 @@
 from endive_core.sharing import (
-    FORGOTTEN_S,
-    HEAD_START_S,
+    INITIAL_CREDIT_S,
+    PEER_EXPIRY_S,
     SILENT_S,
     SharedLimits,
     Spender,
@@ -84,8 +84,8 @@
     made = SharedLimits(0.0)
     made.expect("other", 0.0)
     assert made.part(0.1 + SILENT_S) == 0.5
-    made.forget_silent(FORGOTTEN_S + SILENT_S + 1.0)
-    assert made.part(FORGOTTEN_S + 2.0) == 1.0
+    made.forget_silent(PEER_EXPIRY_S + SILENT_S + 1.0)
+    assert made.part(PEER_EXPIRY_S + 2.0) == 1.0
 
 
 def test_a_node_that_said_it_stopped_gives_its_part_back_at_once():
@@ -122,7 +122,7 @@
 
 def test_a_refused_caller_is_told_when_the_debt_is_paid():
     made = SharedLimits(0.0)
-    start = HEAD_START_S
+    start = INITIAL_CREDIT_S
     assert made.wait_s("o", 3000.0, start, rate=RATE, burst=BURST) == 0.0
     wait = made.wait_s("o", 20.0, start, rate=RATE, burst=BURST)
     assert 1.9 < wait < 2.6
