--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -1,9 +1,9 @@
-"""Admission: predict the first token's time, and refuse at once if it comes too late.
+"""Admission control: predict the time to first token, and refuse calls that miss it.
 
-The load this is for: more work than the servers can do. A call that waits and then
-misses its target holds a slot for an answer nobody waits for, and its caller learns
-too late that it should have gone elsewhere. Refused at once, it has cost nothing, and
-the time to come back is one at which it will be taken.
+Under overload, a call that waits and then misses its latency target occupies a slot for
+an answer that nobody waits for, and its caller learns too late to go elsewhere. A call
+that is refused at once costs nothing, and its ``Retry-After`` names a time at which it
+will be admitted.
 """
 
 from dataclasses import dataclass
@@ -25,14 +25,14 @@
     from endive_core.resources import Organisation
 
 MIN_WAIT_SHARE = 0.25
-"""Part of the target that a call may always wait. A prompt whose own computation takes
-longer than the target can never meet it, and to send its caller away for later would
-be no honest answer; it is admitted while the wait is short."""
+"""Share of the latency target that any call may wait in the queue. A prompt whose own
+prefill takes longer than the target never meets it, now or later, so telling its caller
+to retry would mislead; it is admitted while the wait is short."""
 
 
 @dataclass(frozen=True)
 class Prediction:
-    """When a call's first token is expected, in seconds from now.
+    """Predicted time to first token of a call, in seconds from now.
 
     Attributes
     ----------
@@ -73,10 +73,11 @@
 
 
 class Admission:
-    """Admits a call, or says why not and when to come back.
+    """Admits a call, or refuses it with a reason and a time to retry.
 
-    Callers meet it as ``overloaded``, ``limit_exceeded``, ``deadline_exceeded``,
-    ``no_server`` and ``poison_request``, each within a millisecond.
+    Callers see the refusals as ``overloaded``, ``limit_exceeded``,
+    ``deadline_exceeded``, ``no_server`` and ``poison_request``, each within a
+    millisecond.
     """
 
     def __init__(
@@ -101,14 +102,14 @@
         self.quotas: dict[str, Quota] = {}
 
     def set_organisations(self, organisations: dict[str, "Organisation"]) -> None:
-        """Take over the declared organisations with their limits."""
+        """Apply the declared organisations and their limits."""
         for name, spec in organisations.items():
             self.quotas.setdefault(name, Quota(spec)).spec = spec
         for gone in self.quotas.keys() - organisations.keys():
             del self.quotas[gone]
 
     def refusal(self, call: Call, now: float) -> Refusal | None:
-        """Return why `call` is refused, or ``None``."""
+        """Return why `call` is refused, or ``None`` if it may be admitted."""
         if self.crashes.is_poison(call.fingerprint, now):
             return Refusal.because(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
@@ -142,9 +143,9 @@
             )
         key = (call.organisation, call.rank)
         cost_s = call.tokens * prediction.token_s
-        may_enqueue = self.retry_windows.may_enqueue(key, call.fingerprint, now)
-        if prediction.long_wait_s <= allowed and (may_enqueue or not prediction.wait_s):
-            if not may_enqueue:
+        in_turn = self.retry_windows.may_enqueue(key, call.fingerprint, now)
+        if prediction.long_wait_s <= allowed and (in_turn or not prediction.wait_s):
+            if not in_turn:
                 self.retry_windows.enqueued_early(key, now, cost_s=cost_s)
             return None
         retry_after = self.retry_windows.assign(
@@ -179,13 +180,13 @@
         )
 
     def prefill_tokens_per_s(self) -> float:
-        """Return the declared prefill rate; all servers of a service share it."""
+        """Return the declared prefill rate, which all servers of a service share."""
         for server in self.servers.servers.values():
             return server.view.prefill_tokens_per_s
         return 1.0
 
     def enter(self, call: Call, now: float) -> Ticket:
-        """Return the ticket of a call that is admitted."""
+        """Return the ticket of an admitted call and charge it to the quota."""
         cost = call.prompt_tokens + call.max_tokens * self.rate.answer_share
         ticket = Ticket(call, now, cost)
         ticket.suspect = self.crashes.count(call.fingerprint, now) > 0
@@ -197,18 +198,18 @@
         return ticket
 
     def end(self, ticket: Ticket) -> None:
-        """Note that an admitted call has ended."""
+        """Mark an admitted call as ended and release its place in the quota."""
         ticket.stage = Stage.ENDED
         quota = self.quotas.get(ticket.call.organisation)
         if quota is not None:
             quota.in_flight -= 1
 
     def waited(self, ticket: Ticket, seconds: float) -> None:
-        """Learn how long an admitted call waited in the queue."""
+        """Update the error estimate with the time a call was queued."""
         self.wait_errors[ticket.tier].learn(seconds - ticket.predicted_s)
 
     def answered(self, ticket: Ticket, now: float) -> None:
-        """Learn from a whole answer."""
+        """Update the rate estimates from a complete answer."""
         self.rate.learn(
             tokens=ticket.call.prompt_tokens + ticket.tokens,
             held_s=now - ticket.dispatched_at,
--- a/packages/endive_core/src/endive_core/backlogs.py
+++ b/packages/endive_core/src/endive_core/backlogs.py
@@ -1,40 +1,41 @@
-"""Prompts that other nodes have sent to servers and that have no first token yet.
+"""Prefill backlogs: prompts other nodes sent to servers that have no first token yet.
 
-The load this is for: prompts with a heavy tail. One of 50,000 tokens takes its server a
-second; whatever comes there meanwhile waits behind it, while other servers idle. The
-node that sent it knows, the others don't: a server's own reports come with its answers,
-a node that sends four requests a second to twelve servers sees each of them every three
+Prompt lengths have a heavy tail. A prompt of 50,000 tokens occupies its server for a
+second; requests that arrive there meanwhile wait behind it while other servers idle.
+Only the node that sent it knows: a server reports its load with its answers, so a node
+that sends four requests a second to twelve servers hears from each of them every three
 seconds.
 
-So the nodes tell each other the tokens by server, and each takes off what the server
-has presumably computed since. Of 520 long prompts a day 33 were late instead of 38, of
-1,800 short ones 10 instead of 16 (means of 25 days played both ways). Told four times
-as often, 32 and 8.
+The nodes therefore send each other their pending prompt tokens by server, and each
+deducts what the server has presumably computed since. In simulated
+days with 520 long and 1,800 short prompts, 33 long ones were late instead of 38, and 10
+short ones instead of 16 (means of 25 days, each run both ways). With backlogs sent four
+times as often, 32 and 8 were late.
 """
 
 from collections.abc import Mapping
 
 MAX_SERVERS_SENT = 16
-"""Servers in one telling, those with most tokens: some 300 bytes of a datagram."""
+"""Servers in one broadcast, those with most tokens; about 300 bytes of a datagram."""
 
 MIN_TOKENS_SENT = 500.0
-"""Tokens at a server from which it is told: ten milliseconds of one, less than what a
-telling is late."""
+"""Tokens at a server from which its backlog is sent. They are about 10 ms of prefill,
+less than the delay of a broadcast."""
 
 PEER_EXPIRY_S = 3.0
-"""Time after which what a node told counts no more, seconds: three tellings among a
-hundred nodes. A node that is gone no longer waits for its prompts."""
+"""Seconds after which another node's backlogs are ignored: three broadcast intervals
+among a hundred nodes. A node that is gone no longer waits for its prompts."""
 
 
 class Backlogs:
-    """Tokens that other nodes wait for, by server."""
+    """Prompt tokens that other nodes wait for, by server."""
 
     def __init__(self) -> None:
         self.by_server: dict[str, dict[str, tuple[float, float]]] = {}
         self.by_node: dict[str, set[str]] = {}
 
     def hear(self, node: str, tokens: Mapping[str, float], now: float) -> None:
-        """Take over the tokens by server that another node waits for."""
+        """Replace another node's backlogs by server with those it has just sent."""
         for server in self.by_node.get(node, set()) - tokens.keys():
             by_node_tokens = self.by_server[server]
             del by_node_tokens[node]
@@ -45,20 +46,20 @@
         self.by_node[node] = set(tokens)
 
     def add(self, node: str, server: str, tokens: float, now: float) -> None:
-        """Count a prompt that another node has just sent; its next telling has it."""
+        """Add a prompt that another node has just sent; its next broadcast has it."""
         by_node_tokens = self.by_server.setdefault(server, {})
         before, _ = by_node_tokens.get(node, (0.0, now))
         by_node_tokens[node] = (before + tokens, now)
         self.by_node.setdefault(node, set()).add(server)
 
     def tokens(self, server: str, now: float, tokens_per_s: float) -> float:
-        """Return the tokens that a server presumably has still to compute for others.
+        """Estimate the tokens that a server has still to compute for other nodes.
 
         Parameters
         ----------
         tokens_per_s : float
-            The server's prefill rate. It works for all nodes in turn, so the time since
-            they told counts once for all.
+            The server's prefill rate. The server works for all nodes in turn, so the
+            mean age of their backlogs is deducted once, not once for each node.
         """
         by_node_tokens = self.by_server.get(server)
         if not by_node_tokens:
@@ -74,7 +75,7 @@
 
 
 def told_tokens(tokens: Mapping[str, float]) -> dict[str, float]:
-    """Return what to tell of this node's own tokens by server."""
+    """Return those of this node's own backlogs by server that are worth sending."""
     large = {name: count for name, count in tokens.items() if count >= MIN_TOKENS_SENT}
     if len(large) <= MAX_SERVERS_SENT:
         return large
--- a/packages/endive_core/src/endive_core/queueing.py
+++ b/packages/endive_core/src/endive_core/queueing.py
@@ -1,9 +1,9 @@
 """Queueing: by priority, and within a priority fair among organisations by tokens.
 
-The load this is for: a broker's batch of thousands arrives at once while other
-organisations call. First come, first served would put every later call behind the
-whole batch. Start-time fair queueing gives each organisation its share of tokens: a
-call of an organisation with nothing queued goes next, whatever another has queued.
+If one organisation sends a batch of thousands of calls at once, a first-come,
+first-served queue puts every later call behind the whole batch. Start-time fair
+queueing gives each organisation its share of tokens: a call of an organisation with
+nothing queued goes next, however much another has queued.
 """
 
 import heapq
@@ -28,15 +28,15 @@
         self.tokens = 0.0
 
     def charge(self, tokens: float) -> None:
-        """Move the organisation's next turn back by `tokens` and by what it owes.
+        """Advance the start tag by `tokens` and by the debt of earlier estimates.
 
-        Called only while the queue stands in no heap under its old tag.
+        Called only while the queue is in no heap under its old tag.
         """
         self.tag += tokens / self.share + self.debt
         self.debt = 0.0
 
     def skip_ended(self) -> None:
-        """Drop tickets at the head whose callers hung up while they were queued."""
+        """Drop tickets at the head that were cancelled while they were queued."""
         while self.tickets and self.tickets[0].stage is Stage.ENDED:
             self.tickets.popleft()
 
@@ -78,7 +78,7 @@
         self.tokens += ticket.cost
 
     def heads(self, limit: int) -> Iterator[Ticket]:
-        """Yield up to `limit` organisations' heads, the next in turn first."""
+        """Yield the head tickets of up to `limit` organisations, lowest tag first."""
         self._drop_empty()
         if not self.heap:
             return
@@ -122,12 +122,12 @@
             heapq.heapify(self.heap)
 
     def subtract_tokens(self, ticket: Ticket) -> None:
-        """Take the tokens of a ticket that leaves the queue off the sums."""
+        """Subtract the tokens of a ticket that leaves the queue from the totals."""
         self.queues[ticket.call.organisation].tokens -= ticket.cost
         self.tokens -= ticket.cost
 
     def tokens_ahead(self, organisation: str, share: float) -> float:
-        """Return the tokens that go before a new ticket of `organisation`."""
+        """Return the queued tokens served before a new ticket of `organisation`."""
         queue = self.queue_of(organisation, share)
         start = max(queue.tag, self.virtual_time) + queue.tokens / share
         ahead = queue.tokens
@@ -142,8 +142,8 @@
 class FairQueue:
     """The node's queue for one service.
 
-    Callers meet it as the wait before their request is sent; :meth:`tokens_ahead`
-    is what admission predicts that wait from.
+    Callers experience it as the wait before their request is sent. Admission predicts
+    that wait from :meth:`tokens_ahead`.
     """
 
     def __init__(self, shares: dict[str, float] | None = None) -> None:
@@ -172,7 +172,7 @@
         return self.ranks[rank]
 
     def heads(self, limit: int) -> Iterator[Ticket]:
-        """Yield the tickets that may go next, best first, `limit` a priority."""
+        """Yield the tickets that may go next, best first, `limit` per priority."""
         for rank in self.order:
             yield from self.ranks[rank].heads(limit)
 
@@ -187,17 +187,17 @@
         ]
 
     def pop(self, ticket: Ticket) -> None:
-        """Remove a ticket that :meth:`heads` gave."""
+        """Remove a ticket returned by :meth:`heads`."""
         self.ranks[ticket.call.rank].pop(ticket)
         self.length -= 1
 
     def cancel(self, ticket: Ticket) -> None:
-        """Forget a queued ticket; the caller marks it as ended."""
+        """Uncount a queued ticket; the calling code marks it as ended."""
         self.ranks[ticket.call.rank].subtract_tokens(ticket)
         self.length -= 1
 
     def settle(self, ticket: Ticket, tokens: float) -> None:
-        """Charge what an ended ticket really cost in place of the estimate."""
+        """Replace the estimated cost of an ended ticket by its actual `tokens`."""
         organisation = ticket.call.organisation
         queue = self._rank(ticket.call.rank).queue_of(
             organisation, self.share(organisation)
@@ -205,7 +205,7 @@
         queue.debt += (tokens - ticket.cost) / queue.share
 
     def tokens_ahead(self, rank: int, organisation: str) -> float:
-        """Return the tokens that go before a new ticket."""
+        """Return the queued tokens served before a new ticket."""
         ahead = sum(self.ranks[other].tokens for other in self.order if other > rank)
         if rank in self.ranks:
             ahead += self.ranks[rank].tokens_ahead(
--- a/packages/endive_core/src/endive_core/quotas.py
+++ b/packages/endive_core/src/endive_core/quotas.py
@@ -1,8 +1,9 @@
-"""Declared limits of organisations: tokens a second and requests in flight.
+"""Declared quotas of organisations: tokens per second and requests in flight.
 
-The load this is for: a caller's bug that sends without end. Fair queueing protects
-other organisations' waits; the quota also bounds what one organisation is billed for
-and what it may hold. Each node enforces its part, since nodes decide without talking.
+Fair queueing protects other organisations from a client that sends without end; the
+quota also bounds what that organisation is billed for and the capacity it may hold.
+Each node enforces its equal part of the quota, because nodes decide without
+communicating.
 """
 
 from dataclasses import dataclass
@@ -12,12 +13,12 @@
     from endive_core.resources import Organisation
 
 BURST_S = 2.0
-"""Seconds of the declared rate that may come at once."""
+"""Size of the token bucket, in seconds of the declared rate."""
 
 
 @dataclass(slots=True)
 class Quota:
-    """What one organisation may still spend at this node."""
+    """Token bucket and in-flight count of one organisation at this node."""
 
     spec: "Organisation"
     tokens: float = 0.0
@@ -25,7 +26,7 @@
     in_flight: int = 0
 
     def wait_s(self, cost: float, now: float, nodes: int) -> float:
-        """Return 0 if a call of `cost` tokens may come now, else seconds until then."""
+        """Return 0 if a call of `cost` tokens may be admitted, else seconds to wait."""
         if self.in_flight >= max(1, self.spec.max_in_flight // nodes):
             return 1.0
         rate = self.spec.tokens_per_s / nodes
@@ -35,6 +36,6 @@
         return 0.0 if self.tokens >= cost else (cost - self.tokens) / rate
 
     def spend(self, cost: float) -> None:
-        """Count an admitted call."""
+        """Charge an admitted call."""
         self.tokens -= cost
         self.in_flight += 1
