--- a/packages/endive_core/src/endive_core/counting.py
+++ b/packages/endive_core/src/endive_core/counting.py
@@ -1,20 +1,21 @@
-"""Which node adds up what an organisation spends, and when it tells the others.
-
-The load this is for: an organisation floods a hundred nodes. They tell each other what
-they have spent once a second; until then each lets through what all together may, and a
-limit of 3,000 units in four seconds had 3,060. Told at once to all, each request would
-cost a hundred datagrams.
-
-So each node tells one other node at once, the same for all that know the same nodes:
-one datagram a request. That node sees the whole, and tells all others when little is
-left and each time that some of it went. An organisation far below its limit causes none
-of that. Where a datagram is lost or the nodes disagree on who counts, what they tell
-each other once a second makes good for it.
-
-Among many nodes that is not enough when the machines are busy: a note that takes a
-third of a second leaves as much of a flood unheard. So what a node may spend unheard is
-bounded by its even part of what is left. For more it asks the node that adds up, and
-waits some milliseconds for the answer.
+"""Coordination of shared limits: one coordinator per organisation adds up its spending.
+
+If one organisation floods a hundred nodes that broadcast their spending once a second,
+each node admits up to the whole limit until the next broadcast: a limit of 3,000 units
+in four seconds admitted 3,060. Sending each request's spending to all nodes
+would cost a hundred datagrams per request.
+
+Each node therefore reports each request at once to one coordinator, which all nodes
+with the same view of the cluster choose alike: one datagram per request. The
+coordinator sees the total. When little of the limit is left, it sends the spending it
+knows of to all nodes, in steps. An organisation far below its limit causes no such
+broadcasts. Where a datagram is lost or nodes disagree on the coordinator, the state
+broadcasts once a second correct it.
+
+On busy machines that is not enough among many nodes: while a datagram takes a third of
+a second, a third of a second of the flood is unreported. What a node may spend
+unreported is therefore bounded by its even part of what is left. For more it asks the
+coordinator for a grant, and waits some milliseconds for the answer.
 """
 
 from collections.abc import Iterable
@@ -22,56 +23,56 @@
 from endive_core.hashing import rendezvous_choice
 
 BROADCAST_BELOW_SHARE = 0.5
-"""Part of the allowance below which the others are told. Until then a hundred nodes
-that each believe it is whole can't pass it: what is on the way to the counting node is
-what was admitted within some milliseconds."""
+"""Share of the allowance left below which the coordinator informs all nodes. Above it,
+even a hundred nodes that each believe the allowance is full can't exceed it: what is on
+its way to the coordinator was admitted within some milliseconds."""
 
 BROADCAST_STEP_SHARE = 0.125
-"""Part of the allowance that may be spent untold once it is that low. At most eight
-rounds of datagrams then go out for each allowance that is spent."""
-
+"""Share of the allowance that may be spent before all nodes are informed again, once it
+is that low. At most eight rounds of datagrams are sent for each allowance spent."""
 
 ASKING_NODES = 20
-"""Nodes up to which none is asked. They tell each other all spending five times a
-second, and together let through less unheard than operators tolerate."""
+"""Number of nodes up to which no grants are needed. So few nodes broadcast their
+spending five times a second, and together they admit less unreported than operators
+tolerate."""
 
 ASK_S = 0.1
-"""Longest wait for the answer of the node that adds up, seconds. It takes two ways of
-the network, some milliseconds; a caller's target is a tenth of a second and more."""
+"""Longest wait for the coordinator's answer, seconds. A round trip takes some
+milliseconds; callers' latency targets are a tenth of a second and more."""
 
 UNASKED_S = 3.0
-"""Time for which a node that did not answer isn't asked again, seconds: another one
-adds up. By then it is heard again, or no longer listed."""
+"""Seconds for which a coordinator that did not answer isn't asked again; another node
+takes its place. By then it is either in contact again or no longer listed."""
 
 MOST_ASKED = 2
-"""Nodes asked for one request, one after the other. Two that add up for an organisation
-are seldom gone together, and a caller within its limit then waits for 0.1 s longer."""
+"""Coordinators asked for one request, one after the other. Two in a row are seldom gone
+together, and a caller within its limit then waits 0.1 s longer."""
 
 ASK_AGAIN_S = 0.2
-"""Time after which a caller may come back that was refused since nobody answered,
-seconds: a third node is asked then."""
+"""Retry-after for a caller refused because no coordinator answered, seconds. On the
+retry a third node is asked."""
 
 
 def may_spend_unasked(units: float, *, left: float, nodes: int) -> bool:
-    """Return whether a node may spend `units` before any other has heard of it.
+    """Return whether a node may spend `units` before any other node knows of it.
 
     Parameters
     ----------
     left : float
         Units of the allowance that are left, as far as this node knows.
     nodes : int
-        Nodes that may do the same at the same moment, this one included.
+        Nodes that may do the same at the same time, this one included.
     """
     return units * nodes <= left
 
 
 def counting_node(organisation: str, nodes: Iterable[str]) -> str:
-    """Return the node that adds up for `organisation`; all nodes choose the same."""
+    """Return the coordinator of `organisation`; the same `nodes` give the same one."""
     return rendezvous_choice(organisation, list(nodes))
 
 
 class SpendingCount:
-    """What the counting node knows of and has not told all others.
+    """Spending that the coordinator has counted and not yet sent to all nodes.
 
     Attributes
     ----------
@@ -89,12 +90,14 @@
             by_node[node] = by_node.get(node, 0.0) + units
 
     def take_due(self, organisation: str, *, left: float, most: float) -> list[str]:
-        """Return the nodes whose spending all others must hear of now.
+        """Return the nodes whose spending is now due to be sent to all nodes.
+
+        They are taken off what is pending.
 
         Parameters
         ----------
         left, most : float
-            Units of the allowance that are left, and what it holds when full.
+            Units of the allowance that are left, and its capacity when full.
         """
         by_node = self.untold.get(organisation)
         if not by_node or left >= BROADCAST_BELOW_SHARE * most:
--- a/packages/endive_core/src/endive_core/expiry.py
+++ b/packages/endive_core/src/endive_core/expiry.py
@@ -1,8 +1,8 @@
-"""Queued calls that are given up: no server takes them, or none could in time.
+"""Expiry of queued calls that no server accepts, or none can start in time.
 
-The load this is for: a service loses its last server, or its queue moves slower than
-was predicted. A caller is told at once that its request was not run, and may go
-elsewhere, instead of finding that out when its own time is over.
+A service may lose its last server, or its queue may drain slower than predicted. The
+caller then learns at once that its request did not run and may go elsewhere, instead of
+finding out when its own deadline has passed.
 """
 
 from collections import Counter
@@ -16,14 +16,14 @@
 
 
 class Expiry:
-    """Takes calls out of the queue and keeps them until the node tells their callers.
+    """Removes calls from the queue and keeps them until the node answers their callers.
 
     Attributes
     ----------
     refusals : Counter of ErrorKind
-        The scheduler's count of refusals, to which each given up call is added.
+        The scheduler's count of refusals, to which each expired call is added.
     no_server_since : float or None
-        Clock time, seconds, since which no server has taken work.
+        Clock time in seconds since which no server has accepted work.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         message: str,
         retry_after_s: float | None = None,
     ) -> None:
-        """Give up one queued call; see :meth:`Refusal.because`."""
+        """Expire one queued call; for the arguments see :meth:`Refusal.because`."""
         self.queue.cancel(ticket)
         self.admission.end(ticket)
         ticket.refusal = Refusal.because(kind, message, retry_after_s)
@@ -57,7 +57,7 @@
         self.expired.append(ticket)
 
     def expire_past_deadline(self, ticket: Ticket) -> None:
-        """Give up one queued call whose deadline has passed."""
+        """Expire one queued call whose deadline has passed."""
         self.expire(
             ticket,
             ErrorKind.DEADLINE_EXCEEDED,
@@ -65,9 +65,13 @@
         )
 
     def expire_late(self, ticket: Ticket, late_s: float) -> None:
-        """Give up one that the best server could begin only so long after its deadline.
+        """Expire one queued call that no server can begin before its deadline.
 
-        It may come back when it could be begun in time.
+        Parameters
+        ----------
+        late_s : float
+            Time by which the best server would begin it after its deadline, seconds.
+            The caller is told to retry after that time, within the policy's bounds.
         """
         least, most = self.policy.min_retry_after_s, self.policy.max_retry_after_s
         self.expire(
@@ -78,15 +82,15 @@
         )
 
     def expire_all(self, message: str) -> None:
-        """Give up all that is queued, since there is no server for it."""
+        """Expire all queued calls as ``no_server``."""
         for ticket in self.queue.tickets():
             self.expire(ticket, ErrorKind.NO_SERVER, message)
 
     def expire_without_servers(self, now: float) -> None:
-        """Give up what is queued when no server has taken work for a while.
+        """Expire all queued calls if no server has accepted work for a while.
 
-        Servers may be replaced within seconds of a reclaim; after that a caller is
-        better told that its request was not run than left waiting.
+        Servers may be replaced within seconds of a reclaim. After that it is better to
+        tell a caller that its request did not run than to let it wait.
         """
         if self.servers.taking:
             self.no_server_since = None
@@ -97,6 +101,6 @@
             self.expire_all("no server takes work")
 
     def take(self) -> list[Ticket]:
-        """Return what was given up since the last call."""
+        """Return the tickets expired since the last call."""
         expired, self.expired = self.expired, []
         return expired
--- a/packages/endive_core/src/endive_core/metering.py
+++ b/packages/endive_core/src/endive_core/metering.py
@@ -1,19 +1,19 @@
-"""What each organisation began to use, by window of the time of day.
+"""Usage metering: requests begun by each organisation, by time window.
 
-Every node counts what it saw begin and tells the others its counts of the last
-windows, so that whoever reports a window has all nodes' counts, also those of a node
-that has been killed since it last told.
+Every node counts the requests it saw begin and broadcasts its counts of the last
+windows. The node that reports a window then has all nodes' counts, including those of a
+node that was killed after its last broadcast.
 """
 
 from collections import Counter, defaultdict
 
 WINDOWS_KEPT = 6
-"""Windows kept: a report is due two windows after its end, and a holder that comes
-late makes up for some."""
+"""Windows kept. A window's report is due two windows after its end, and a reporting
+node that takes over late still has to report some older ones."""
 
 
 class Meter:
-    """Counts of this node and, as told, of the others.
+    """Request counts of this node, and of the others as received.
 
     Parameters
     ----------
@@ -27,18 +27,18 @@
         self.peer_counts: dict[tuple[str, int], dict[int, dict[str, int]]] = {}
 
     def window_of(self, true_time: float) -> int:
-        """Return the number of the window that holds `true_time`."""
+        """Return the number of the window that contains `true_time`."""
         return int(true_time // self.window_s)
 
     def begin(self, organisation: str, true_time: float) -> None:
-        """Count a request that a server began at `true_time`."""
+        """Count a request that a server began at `true_time`, seconds since 1970."""
         window = self.window_of(true_time)
         self.own_counts[window][organisation] += 1
         for old in sorted(self.own_counts)[:-WINDOWS_KEPT]:
             del self.own_counts[old]
 
     def tell(self) -> dict[int, dict[str, int]]:
-        """Return this node's counts of the last two windows."""
+        """Return this node's counts of its last two windows, for the broadcast."""
         return {
             window: dict(self.own_counts[window])
             for window in sorted(self.own_counts)[-2:]
@@ -47,7 +47,7 @@
     def hear(
         self, node: str, incarnation: int, counts: dict[int, dict[str, int]]
     ) -> None:
-        """Take over another node's counts; they only grow within one incarnation."""
+        """Apply another node's counts, which only grow within one incarnation."""
         known = self.peer_counts.setdefault((node, incarnation), {})
         known.update(counts)
         for old in sorted(known)[:-WINDOWS_KEPT]:
--- a/packages/endive_core/src/endive_core/rates.py
+++ b/packages/endive_core/src/endive_core/rates.py
@@ -1,4 +1,4 @@
-"""What admission learns from the calls that went before."""
+"""Estimates that admission learns from finished calls."""
 
 from dataclasses import dataclass
 
@@ -6,24 +6,25 @@
 
 INITIAL_TOKENS_PER_SLOT_S = 50.0
 INITIAL_HELD_S = 4.0
-"""Guesses until calls have finished: an engine's decode rate, and 200 tokens at it."""
+"""Initial estimates until calls have finished: an engine's decode rate in tokens per
+second, and the time of 200 tokens at that rate."""
 
 PLAIN_CALLS_PER_SLOT_S = 20.0
 PLAIN_HELD_S = 0.05
-"""The same for a plain service, whose calls cost one token each."""
+"""Initial estimates for a plain service, whose calls cost one token each."""
 
 RATE_SMOOTHING = 0.05
-"""Weight of the newest finished call in the learned rates; about the last 20 calls,
-so that a change of the mix is followed within seconds of full load."""
+"""Weight of the newest finished call in the learned rates. They average about the last
+20 calls, so they follow a change of the request mix within seconds of full load."""
 
 ERROR_SMOOTHING = 0.1
-"""Weight of the newest error of a prediction: a burst must be noticed within ten
-calls, for that many are late until then."""
+"""Weight of the newest prediction error. A burst must be noticed within ten calls,
+because that many are late until then."""
 
 
 @dataclass
 class ServiceRate:
-    """What one slot does a second, learned from finished calls.
+    """Throughput of one server slot, learned from finished calls.
 
     Attributes
     ----------
@@ -32,9 +33,9 @@
     held_s : float
         Mean seconds for which a call holds its slot.
     start_s : float
-        Mean time from sending to the first token, without the call's own prefill.
+        Mean seconds from dispatch to the first token, without the call's own prefill.
     answer_part : float
-        Part of the most tokens allowed that answers really have.
+        Mean length of answers as a share of the ``max_tokens`` allowed.
     """
 
     tokens_per_slot_s: float
@@ -44,13 +45,13 @@
 
     @classmethod
     def for_service(cls, service_type: ServiceType) -> "ServiceRate":
-        """Return the guess for a service of which nothing is known yet."""
+        """Return the initial estimate for a service without finished calls."""
         if service_type is ServiceType.PLAIN:
             return cls(PLAIN_CALLS_PER_SLOT_S, PLAIN_HELD_S)
         return cls(INITIAL_TOKENS_PER_SLOT_S, INITIAL_HELD_S)
 
     def learn(self, *, tokens: float, held_s: float) -> None:
-        """Take in one finished call."""
+        """Update the estimates with one finished call."""
         if held_s > 0:
             self.held_s += RATE_SMOOTHING * (held_s - self.held_s)
             self.tokens_per_slot_s += RATE_SMOOTHING * (
@@ -58,11 +59,11 @@
             )
 
     def learn_start(self, start_s: float) -> None:
-        """Take in one first token's time."""
+        """Update the estimate with the start time of one call."""
         self.start_s += RATE_SMOOTHING * (max(0.0, start_s) - self.start_s)
 
     def learn_answer(self, tokens: int, max_tokens: int) -> None:
-        """Take in one answer's length."""
+        """Update the estimate with the length of one answer."""
         self.answer_share += RATE_SMOOTHING * (
             tokens / max(1, max_tokens) - self.answer_share
         )
@@ -70,10 +71,10 @@
 
 @dataclass
 class WaitErrorEstimate:
-    """How far predictions of the wait have been off, like a round-trip estimator.
+    """Error of the predicted waits, estimated like a TCP round-trip time.
 
     A prediction from the mean rate is too short for half of the calls. With the mean
-    error and some mean deviations on top, few admitted calls are late.
+    error and some mean deviations added, few admitted calls are late.
 
     Attributes
     ----------
@@ -85,7 +86,7 @@
     deviation_s: float = 0.0
 
     def learn(self, error_s: float) -> None:
-        """Take in one call's observed wait less the predicted one."""
+        """Update the estimate with one call's observed wait less the predicted one."""
         deviation = error_s - self.mean_s
         self.mean_s += ERROR_SMOOTHING * deviation
         self.deviation_s += ERROR_SMOOTHING * (abs(deviation) - self.deviation_s)
--- a/packages/endive_core/src/endive_core/retrying.py
+++ b/packages/endive_core/src/endive_core/retrying.py
@@ -1,8 +1,8 @@
-"""Retries: a budget for each deployment, and delays with full jitter.
+"""Retries: a retry budget for each deployment, and delays with full jitter.
 
-The load this is for: an outage of some servers. If every failed call were sent again
-up to four times, the servers left would get four times the load and fail as well. The
-budget lets retries be only a share of the successes.
+During an outage of some servers, sending every failed call again up to four times would
+put four times the load on the remaining servers, which would fail as well. The budget
+limits retries to a share of the successes.
 """
 
 from collections import deque
@@ -12,21 +12,21 @@
 from endive_core.servers import Random
 
 IN_FLIGHT_RETRY_SHARE = 0.5
-"""Part of the calls in flight that may be sent again at once: a zone's worth and more
-may break together, each stream once. Beyond it only successes earn retries."""
-
+"""Share of the calls in flight that may be retried at once. All streams of a zone and
+more may break together, each of them once. Beyond that only successes earn retries."""
 
 DEFAULT_RETRY_RATIO = 0.1
-"""Retries earned by each success where a deployment declares nothing else."""
+"""Retries earned by each success, unless a deployment declares its own ratio."""
 
 FLEET_BUDGET_SHARE = 0.8
-"""Part of the fleet's repeats that is used: requests and repeats arrive at a server
-some milliseconds after they are counted, and a node that restarts forgets its own."""
+"""Share of the fleet's retry budget that is used. Requests and retries arrive at a
+server some milliseconds after they are counted, and a restarted node has lost its
+counts."""
 
 
 @dataclass
 class RetryBudget:
-    """Retries that one deployment may still make.
+    """Retry budget of one deployment.
 
     Attributes
     ----------
@@ -43,7 +43,7 @@
     spent: float = 0.0
 
     def earn(self) -> None:
-        """Count a success."""
+        """Count a success, which earns back `ratio` retries."""
         self.spent = max(0.0, self.spent - self.ratio)
 
     def spend(self, *, in_flight: int) -> bool:
@@ -55,20 +55,20 @@
 
 
 class FleetRetryBudget:
-    """A node's part of the repeats that all nodes may make together.
+    """A node's part of the retry budget of all nodes together.
 
-    The load this is for: an outage of some servers. Each node may repeat a share of
-    its own recent requests and an even part of a fixed slack, so that all nodes
-    together stay within the limit without asking each other.
+    Each node may retry a share of its own recent requests plus an even part of a fixed
+    slack. During an outage all nodes together thus stay within the limit without
+    communicating.
 
     Parameters
     ----------
     ratio : float
-        Repeats allowed for each request.
+        Retries allowed for each request.
     slack : float
-        Repeats allowed besides, over all nodes.
+        Retries allowed in addition, over all nodes.
     window_s : float
-        Span in which both are counted, seconds.
+        Length of the sliding window in which both are counted, seconds.
     """
 
     def __init__(self, *, ratio: float, slack: float, window_s: float) -> None:
@@ -84,7 +84,7 @@
         self._forget(self.requests, now)
 
     def spend(self, now: float, *, nodes: int) -> bool:
-        """Take one repeat; return whether there was one."""
+        """Take one retry; return whether there was one."""
         self._forget(self.requests, now)
         self._forget(self.retries, now)
         allowed = self.ratio * len(self.requests) + self.slack / max(1, nodes)
@@ -101,7 +101,7 @@
 def retry_delay_s(attempt: int, policy: Policy, random: Random) -> float:
     """Return the delay before the retry that follows `attempt`, in seconds.
 
-    Full jitter (0 up to the doubling bound) spreads the calls that one server's
+    Full jitter (from 0 to the exponential bound) spreads the calls that one server's
     failure ended together, so that they don't arrive together elsewhere.
     """
     bound = min(policy.retry_max_s, 2 * policy.retry_base_s * 2 ** (attempt - 1))
--- a/packages/endive_core/src/endive_core/returning.py
+++ b/packages/endive_core/src/endive_core/returning.py
@@ -1,37 +1,49 @@
-"""When a refused call should come back, and that it is let in then.
+"""Retry-after times for refused calls, and admission at the times given.
 
-The load this is for: thousands refused within one second, or more work than capacity
-for minutes. A caller who comes back when it was told to, and is refused again, has
-waited for nothing and loads the node once more.
+A caller that retries at the time it was given and is refused again has waited for
+nothing and loads the node once more. Thousands may be refused within one second, or
+load may exceed capacity for minutes.
 """
 
 from endive_core.hashing import shard_of
 
 WINDOW_S = 0.5
-"""Length of the window in which a refused call has its turn, seconds: longer than
-clocks differ and networks delay."""
+"""Length of the window in which a refused call may retry, seconds: longer than clock
+differences and network delays."""
 
 PERIOD_WINDOWS = 8
-"""Windows between two turns of one call: a caller waits 2 s longer on average than the
-line demands, and one first call in eight comes in its turn by chance."""
+"""Windows from one of a call's windows to its next. A caller waits 2 s longer on
+average than the backlog of refused calls demands, and one first call in eight arrives
+in its own window by chance."""
 
 LATE_WINDOW_SHARE = 0.5
-"""Part of the next window in which a caller who is late still has its turn."""
+"""Share of the following window in which a late caller is still admitted."""
 
 
 class RetryWindows:
-    """Times to come back, handed out so that those who keep them are let in.
-
-    The load this is for: thousands refused within one second, or more work than
-    capacity for minutes. Told the same time, all would come back in the same second;
-    and callers who come for the first time would take the room that those who waited
-    were told of. So each refused call moves its organisation's line back by what it
-    costs, and while the line is not empty a call may join the queue only in its turn.
-
-    A caller may come back to another node, which has not heard of it. So its turns
-    follow from its fingerprint: one window in `PERIOD_WINDOWS`, the same on every node.
-    Nobody has to remember or to be told anything, and only one first call in a few
-    comes in its turn by chance.
+    """Assigns refused calls a time to retry and admits those that keep to it.
+
+    If all refused calls were given the same time, they would all return in the same
+    second, and first calls would take the capacity promised to those that waited. Each
+    refused call therefore extends its organisation's backlog of refused calls by its
+    cost. While that backlog is not empty, a call may join the queue only in its own
+    window.
+
+    A caller may retry at another node, which does not know of the refusal. Its windows
+    therefore follow from its fingerprint: one window in `PERIOD_WINDOWS`, the same on
+    every node. No node keeps or sends any record of the caller, and only one first call
+    in `PERIOD_WINDOWS` arrives in its own window by chance.
+
+    Parameters
+    ----------
+    min_s, max_s : float
+        Shortest and longest time to retry, seconds.
+
+    Attributes
+    ----------
+    ends_at : dict
+        For each organisation and rank the clock time at which its backlog of refused
+        calls is worked off.
     """
 
     def __init__(self, *, min_s: float, max_s: float) -> None:
@@ -40,7 +52,7 @@
         self.ends_at: dict[tuple[str, int], float] = {}
 
     def may_enqueue(self, key: tuple[str, int], fingerprint: str, now: float) -> bool:
-        """Return whether a call may join the queue without jumping the line."""
+        """Return whether a call may join the queue: no backlog, or its own window."""
         if self.ends_at.get(key, 0.0) <= now:
             return True
         return in_window(fingerprint, now)
@@ -48,7 +60,7 @@
     def enqueued_early(
         self, key: tuple[str, int], now: float, *, cost_s: float
     ) -> None:
-        """Move the line back for a call that found room out of its turn."""
+        """Extend the backlog by a call that was admitted outside its own window."""
         if self.ends_at.get(key, 0.0) > now:
             self.ends_at[key] += cost_s
 
@@ -61,18 +73,18 @@
         excess_s: float,
         cost_s: float,
     ) -> float:
-        """Return the seconds after which the refused call should come back.
+        """Return the seconds after which the refused call should retry.
 
         Parameters
         ----------
         key : tuple of str and int
             Organisation and rank.
         fingerprint : str
-            The call's fingerprint, which decides its turns.
+            The call's fingerprint, which determines its windows.
         excess_s : float
             Time until the queue is short enough for one more call.
         cost_s : float
-            Time the organisation's share needs for this call.
+            Time in which the organisation's share of capacity serves this call.
         """
         earliest = now + max(self.min_s, excess_s)
         end = max(earliest, self.ends_at.get(key, 0.0) + cost_s)
@@ -81,7 +93,7 @@
 
 
 def in_window(fingerprint: str, now: float) -> bool:
-    """Return whether a call with `fingerprint` has its turn at `now`."""
+    """Return whether `now` is in a window of the call with `fingerprint`."""
     window = int(now // WINDOW_S)
     offset = int(now % WINDOW_S < WINDOW_S * LATE_WINDOW_SHARE)
     own_window = _window_of(fingerprint)
@@ -89,9 +101,9 @@
 
 
 def next_window_time(fingerprint: str, start: float) -> float:
-    """Return the first time from `start` on at which a call has its turn.
+    """Return the first time from `start` on that is in a window of the call.
 
-    Spread over the window, so that not all of one turn come at its start.
+    The times are spread over the window, so that not all its calls come at its start.
     """
     window = int(start // WINDOW_S)
     if (_window_of(fingerprint) - window) % PERIOD_WINDOWS == 0:
--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -1,67 +1,70 @@
-"""Limits over all nodes together: each node counts what all of them spend.
-
-The load this is for: an organisation sends many times what it may, to all nodes at
-once. A limit kept at each node alone would let it have the limit once a node. A fixed
-part of it for each node would refuse callers who are far below it: the requests of one
-organisation at one node are few and large, and come in bunches. Asking one place for
-each request would cost a round trip.
-
-So the nodes tell each other what they have spent, several times a second, and each
-keeps the same allowance, from which everybody's spending is taken: its own at once,
-the others' when it hears of it. What is overspent meanwhile is a debt that all of them
-pay back.
+"""Rate limits shared by all nodes: each node counts what all of them spend.
+
+An organisation may send many times its limit to all nodes at once. A limit enforced by
+each node alone would admit the limit once per node. A fixed part of it for each node
+would refuse callers far below the limit, because the requests of one organisation at
+one node are few, large and bursty. A central counter would cost a round trip per
+request.
+
+The nodes therefore broadcast their total spending several times a second, and each
+keeps a replica of the same token bucket, the allowance. It deducts its own spending at
+once and that of the others when it receives it. What is overspent meanwhile is a debt:
+the allowance is below zero until all nodes have paid it back.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 SILENT_S = 0.9
-"""A node unheard for longer may be cut off and go on spending. Its even part of each
-limit is left to it, so that the sides of a cut together stay within the limit. Four
-tellings may be lost in a row before that."""
+"""Seconds of silence after which a node counts as cut off. It may go on spending, so
+its even part of each limit is left to it, and both sides of a network partition
+together stay within the limit. Up to four broadcasts in a row may be lost before
+that."""
 
 PEER_EXPIRY_S = 30.0
-"""A node unheard for longer is taken to be gone for good, and its part is divided.
-Longer than the cuts of up to 12 s that the platform's figures speak of."""
+"""Seconds of silence after which a node counts as gone for good and its part of the
+limits is divided among the others. Longer than the network partitions of up to 12 s
+that the platform specifies."""
 
 SLACK_BURST_SHARE = 0.4
-"""Part of the operators' tolerance that is used as further burst. The rest covers what
-several nodes admit within one telling, a quarter of a second of all that is asked."""
+"""Share of the slack tolerated by operators that is added to the burst. The rest covers
+what several nodes admit within one broadcast interval: a quarter of a second of all
+that is requested."""
 
 INITIAL_CREDIT_S = 1.0
-"""Seconds of the rate that a node that starts has to spend at once. What was spent a
-moment before isn't known; but nothing was while all nodes were down, and one that
-starts alone is one of several."""
+"""Seconds of the rate that a starting node may spend at once. It doesn't know what was
+spent a moment before. That does no harm: while all nodes were down nothing was spent,
+and a node that starts alone is only one of several."""
 
 START_SKEW_S = 3.0
-"""Seconds by which a node heard for the first time may be older than this one so that
-all it has spent counts; of one that is older still only what comes now. After a power
-loss all nodes start within a second, and are heard within two more where they are a
-hundred."""
+"""Seconds by which a newly seen node may be older than this one for all of its spending
+to count. Of a node that is older still only new spending counts. After a power loss all
+nodes start within one second, and a hundred nodes have received each other's state
+within two more."""
 
 SMALL_REQUEST_SHARE = 0.01
-"""Part of a limit's burst up to which a request is small: a booking has 200 units where
-a prompt has up to 23,000."""
+"""Share of a limit's burst up to which a request counts as small. Short calls without a
+prompt have 200 units, prompts up to 23,000."""
 
 RESERVED_RATE_SHARE = 0.05
-"""Part of each limit's rate that small requests may take though nothing is left,
-divided among the nodes. It is charged like all else, so the rate is kept; what the
-limit is below zero grows by this much a second at the most, half of what operators
+"""Share of each limit's rate that small requests may take although nothing is left,
+divided among the nodes. It is charged like all other spending, so the rate holds. The
+debt grows by at most this share of the rate per second, half of what operators
 tolerate."""
 
 
 @dataclass(frozen=True, slots=True)
 class Spender:
-    """A node that spends, at the moment at which it told of it.
+    """The node that reports its spending, and how recent the report is.
 
     Attributes
     ----------
     incarnation : int
-        Differs with each start.
-    tellings : int
-        How often it had told all of its spending since it started.
+        Differs with each start of the node.
+    sequence : int
+        Number of state broadcasts the node had sent since it started.
     age_s : float
-        Seconds since it started.
+        Seconds since the node started.
     """
 
     node: str
@@ -72,15 +75,20 @@
 
 @dataclass
 class PeerSpending:
-    """What another node has spent since it started, as it last said.
+    """What another node has spent since it started, as last reported.
 
     Attributes
     ----------
-    born_at : float
-        When it started, on this node's clock.
+    spent : dict
+        Units by organisation.
     noted : dict
-        For each organisation the newest units told by themselves, with how often the
-        node had told all of its spending by then. A telling made before that is older.
+        For each organisation the newest update sent outside the state broadcasts: the
+        sequence number of the node's last broadcast before it, and the units. A
+        broadcast up to that number is older than the update.
+    last_seen_at : float
+        When the node was last in contact, on this node's clock.
+    born_at : float
+        When the node started, on this node's clock.
     """
 
     spent: dict[str, float] = field(default_factory=dict)
@@ -92,26 +100,26 @@
 
 @dataclass
 class Allowance:
-    """Units of one organisation's limit that are left, over all nodes.
+    """Token bucket of one organisation's limit, as all nodes together have spent it.
 
-    It may go below zero by a request, which the next seconds pay back: a request
-    larger than what is left would otherwise never fit.
+    A request may take it below zero, which the next seconds pay back. Otherwise a
+    request larger than what is left would never fit.
     """
 
     units: float = 0.0
     updated_at: float = 0.0
 
     def refill(self, now: float, *, rate: float, burst: float) -> None:
-        """Add what `rate` has given since the last time, up to `burst`."""
+        """Add the units earned at `rate` since the last refill, up to `burst`."""
         self.units += rate * max(0.0, now - self.updated_at)
         self.units = min(self.units, burst)
         self.updated_at = now
 
 
 class SharedLimits:
-    """Every organisation's limit, as this node can keep it with the others.
+    """Every organisation's limit, enforced by this node together with the others.
 
-    Callers meet it as 429 with the time to come back.
+    Callers see it as status 429 with a time to retry.
 
     Parameters
     ----------
@@ -123,8 +131,8 @@
     Attributes
     ----------
     silent_s : float
-        Time after which an unheard node counts as silent, seconds; longer where many
-        nodes tell each other less often.
+        Seconds of silence after which a node counts as cut off; longer among many
+        nodes, which broadcast less often.
     """
 
     def __init__(self, now: float = 0.0, *, slack: float = 0.0) -> None:
@@ -141,25 +149,30 @@
         return self.spent
 
     def hear(self, origin: Spender, spent: Mapping[str, float], now: float) -> None:
-        """Take over what another node has spent since it started."""
+        """Apply a state broadcast: what another node has spent since it started."""
         peer = self._current_peer(origin)
         if peer is None:
             before = {} if self._started_recently(origin, now) else dict(spent)
             peer = self._reset_peer(origin, before, now)
         peer.last_seen_at = now
         for organisation, units in spent.items():
-            told_at, noted = peer.noted.get(organisation, (0, 0.0))
-            if origin.sequence <= told_at:
-                units = max(units, noted)
+            sequence, update = peer.noted.get(organisation, (0, 0.0))
+            if origin.sequence <= sequence:
+                units = max(units, update)
             self._charge(peer, organisation, units)
 
     def note(
         self, origin: Spender, organisation: str, units: float, now: float
     ) -> float:
-        """Take over what another node has spent of one limit; return what is new of it.
+        """Apply an update of what another node has spent of one limit.
+
+        An unknown node that has run for long has spent much that must not count any
+        more, so its updates are ignored until its first state broadcast.
 
-        A node that is not known and has run for long has spent much that must not count
-        any more, so its first telling of everything is waited for.
+        Returns
+        -------
+        float
+            Units of it that are new to this node.
         """
         peer = self._current_peer(origin)
         if peer is None:
@@ -196,7 +209,7 @@
         return now - origin.age_s >= self.credit_since - START_SKEW_S
 
     def _charge(self, peer: PeerSpending, organisation: str, units: float) -> float:
-        """Take off what a node has spent since it was last heard; return it."""
+        """Deduct what a node has spent since its last report; return those units."""
         new = units - peer.spent.get(organisation, 0.0)
         peer.spent[organisation] = units
         if new:
@@ -204,25 +217,26 @@
         return new
 
     def expect(self, node: str, now: float) -> None:
-        """Count a node that is known to be there, though it was not heard yet.
+        """Count a listed node from which nothing has been received yet.
 
-        It gets the usual time to be heard: after a power loss all nodes start within
-        a second, and each alone would refuse most callers until then.
+        It has the usual silence timeout to report. After a power loss all nodes start
+        within a second, and each on its own would refuse most callers until it had
+        received the others' state.
         """
         self.peers.setdefault(node, PeerSpending(last_seen_at=now))
 
     def leave(self, node: str) -> None:
-        """Divide the part of a node that said it has stopped."""
+        """Drop a node that has announced its stop; the others divide its part."""
         self.peers.pop(node, None)
 
     def forget_silent(self, now: float) -> None:
-        """Divide the parts of nodes that are gone for good."""
+        """Drop nodes that are gone for good; the others divide their parts."""
         for node, peer in list(self.peers.items()):
             if now - peer.last_seen_at > PEER_EXPIRY_S:
                 del self.peers[node]
 
     def part(self, now: float) -> float:
-        """Return the part of each limit for the nodes that hear each other."""
+        """Return the share of each limit that belongs to the nodes in contact."""
         silent = sum(
             now - peer.last_seen_at > self.silent_s for peer in self.peers.values()
         )
@@ -232,12 +246,12 @@
     def wait_s(
         self, organisation: str, units: float, now: float, *, rate: float, burst: float
     ) -> float:
-        """Return 0 and spend `units` if a request may come, else the seconds to wait.
+        """Spend `units` and return 0 if they are admitted, else the seconds to wait.
 
         Parameters
         ----------
         rate, burst : float
-            The whole limit, of all nodes together.
+            The whole limit of all nodes together, in units per second and units.
         """
         left, _ = self.left(organisation, now, rate=rate, burst=burst)
         if left <= 0 and not self._take_reserved(organisation, units, now, rate, burst):
@@ -248,22 +262,22 @@
     def _take_reserved(
         self, organisation: str, units: float, now: float, rate: float, burst: float
     ) -> bool:
-        """Return whether a small request may pass though nothing is left, and take it.
-
-        The load this is for: an organisation sends several times its limit in long
-        prompts. One of 23,000 units takes the limit so far below zero that nothing
-        passes for 0.2 s, again and again: 135 of 195 bookings of 200 units were refused
-        in nine seconds, though all of them are 2 in 100 of the limit. With a part kept
-        for them 0 and 6 bookings a day were refused instead of 40 and 65 (two days, one
-        play each).
+        """Take a small request's units from the reserve; return whether they fit.
+
+        If an organisation sends several times its limit in long prompts, a prompt of
+        23,000 units takes the limit so far below zero that nothing is admitted for
+        0.2 s, again and again. 135 of 195 requests of 200 units were refused in nine
+        seconds, although all of them together are 2% of the limit. With a reserved
+        share, 0 and 6 small requests a day were refused instead of 40 and 65 (two
+        simulated days, one run each).
         """
         if units > SMALL_REQUEST_SHARE * burst:
             return False
-        part = RESERVED_RATE_SHARE / (len(self.peers) + 1)
+        share = RESERVED_RATE_SHARE / (len(self.peers) + 1)
         reserved = self.small_request_allowances.setdefault(
             organisation, Allowance(updated_at=now - 1.0)
         )
-        reserved.refill(now, rate=part * rate, burst=max(units, part * burst))
+        reserved.refill(now, rate=share * rate, burst=max(units, share * burst))
         if reserved.units < units:
             return False
         reserved.units -= units
@@ -279,17 +293,18 @@
         rate: float,
         burst: float,
     ) -> float | None:
-        """Let another node spend; return 0, the seconds to wait, or ``None``.
+        """Decide on another node's request to spend, and charge it if granted.
 
         Parameters
         ----------
         total : float
-            What that node has spent since it started, with what it asks for.
+            Units the node has spent since it started, including what it asks for.
 
         Returns
         -------
         float or None
-            ``None`` if the node's spending isn't known well enough to say.
+            0 if granted, else the seconds to wait; ``None`` if the node's spending
+            isn't known well enough to decide.
         """
         left, _ = self.left(organisation, now, rate=rate, burst=burst)
         if left <= 0:
@@ -302,19 +317,19 @@
     def left(
         self, organisation: str, now: float, *, rate: float, burst: float
     ) -> tuple[float, float]:
-        """Return the units left of a limit, and what it holds when full."""
-        part = self.part(now)
-        most = (burst + SLACK_BURST_SHARE * self.slack) * part
+        """Return the units left of a limit, and its capacity when full."""
+        share = self.part(now)
+        most = (burst + SLACK_BURST_SHARE * self.slack) * share
         allowance = self._allowance(organisation)
-        allowance.refill(now, rate=rate * part, burst=most)
+        allowance.refill(now, rate=rate * share, burst=most)
         return allowance.units, most
 
     def give_back(self, organisation: str, units: float) -> None:
-        """Return what a request took that was not run after all."""
+        """Refund the units of a request that did not run."""
         self.spend(organisation, -units)
 
     def spend(self, organisation: str, units: float) -> None:
-        """Take off what this node spends."""
+        """Charge `units` spent at this node."""
         self._allowance(organisation).units -= units
         self.spent[organisation] = self.spent.get(organisation, 0.0) + units
 
--- a/packages/endive_core/src/endive_core/usage.py
+++ b/packages/endive_core/src/endive_core/usage.py
@@ -1,7 +1,7 @@
-"""Who holds this node's slots, and what each organisation may count on.
+"""Server slots held by each organisation, and the tier that follows from them.
 
-The load this is for: one organisation's batch fills every slot. Organisations within
-their share then find the reserve free, and those over it leave it alone.
+If one organisation's batch fills every other slot, organisations within their share
+still find the reserved slots free, because those over their share must not use them.
 """
 
 from collections import Counter
@@ -11,15 +11,15 @@
 from endive_core.servers import ServerSet
 
 MAX_ORGANISATION_SHARE = 0.5
-"""Part of the slots up to which one organisation is within its share, also when it is
-alone: beyond it, it leaves the reserve free for others who may call at any moment."""
+"""Share of the slots up to which one organisation is within its share, even if no other
+is active. Beyond it, the reserved slots stay free for others that may call any time."""
 
 
 class SlotUsage:
-    """Slots held by each organisation, and its tier.
+    """Slots held by each organisation, and the tier of its next call.
 
-    Callers meet it as the difference between an organisation within its share, which
-    is served at once, and one over it, which waits or is refused first.
+    Callers of an organisation within its share are served at once; those of one over
+    its share wait, or are refused first.
     """
 
     def __init__(self, servers: ServerSet, queue: FairQueue) -> None:
@@ -32,7 +32,7 @@
         self.held[organisation] += 1
 
     def release(self, organisation: str) -> None:
-        """Count a slot given back."""
+        """Count a slot released."""
         self.held[organisation] -= 1
         if not self.held[organisation]:
             del self.held[organisation]
@@ -40,9 +40,9 @@
     def tier(self, call: Call) -> Tier:
         """Return how much of the servers' slots `call` must leave free.
 
-        Bulk leaves the most, organisations over their share of the slots some, so
-        that a call of an organisation within its share finds a slot at once while a
-        batch runs, and one over its share goes before bulk even of other nodes.
+        Bulk leaves the most free, organisations over their share some. A call of an
+        organisation within its share thus finds a slot at once while a batch runs, and
+        one over its share goes before bulk, even bulk of other nodes.
         """
         if call.bulk:
             return Tier.BULK
@@ -52,9 +52,9 @@
         return Tier.WITHIN_SHARE
 
     def slots_of(self, organisation: str) -> float:
-        """Return how many of this node's slots `organisation` can count on.
+        """Return how many of this node's slots `organisation` can use.
 
-        What the others leave, but at least its share.
+        That is what the others leave free, but at least its share.
         """
         slots = self.slots()
         held = self.servers.own_total - self.held[organisation]
