--- a/packages/endive_core/src/endive_core/__init__.py
+++ b/packages/endive_core/src/endive_core/__init__.py
@@ -1,17 +1,17 @@
-"""Decisions, records and folds of endivestack: no I/O, no clock of its own.
+"""Decision logic and state of endivestack, without I/O and without a clock of its own.
 
-Its modules, by their work:
+Its modules by purpose:
 
 - one request: ``calls``, ``lifecycle``, ``bodies``, ``messages``, ``exceptions``,
   ``service_types``
-- decisions under load, behind one facade: ``scheduler``, ``policy``, ``admission``,
+- scheduling, behind the facade ``scheduler``: ``policy``, ``admission``,
   ``queueing``, ``usage``, ``expiry``, ``returning``, ``rates``
-- placing: ``placement``, ``prefixes``, ``ring``, ``hashing``, ``servers``,
+- placement: ``placement``, ``prefixes``, ``ring``, ``hashing``, ``servers``,
   ``backlogs``, ``prefilling``, ``first_tokens``
 - failures: ``failures``, ``retrying``, ``crashes``, ``outliers``, ``suspicions``
-- limits: ``quotas``, ``sharing``, ``counting``, ``metering``
+- limits and metering: ``quotas``, ``sharing``, ``counting``, ``metering``
 - capacity: ``capacity``, ``load_sizing``
-- streams and requests that move: ``shifting``, ``handover``, ``claims``
+- moving streams and requests: ``shifting``, ``handover``, ``claims``
 - membership: ``membership``, ``members``, ``digests``, ``facts``, ``leases``,
   ``clocks``
 - configuration: ``resources``, ``catalogue``, ``routing``, ``records``, ``fold``,
--- a/packages/endive_core/src/endive_core/bodies.py
+++ b/packages/endive_core/src/endive_core/bodies.py
@@ -1,4 +1,4 @@
-"""Checks of callers' bodies for the endpoints that reach model engines."""
+"""Validation of request bodies for the endpoints that reach model engines."""
 
 from typing import Annotated, Any, Literal
 
@@ -14,7 +14,7 @@
 
 
 class _Body(BaseModel):
-    """Fields that both endpoints share; an unknown field is refused, not ignored."""
+    """Fields common to both endpoints; unknown fields are rejected, not ignored."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -44,7 +44,7 @@
     messages: Annotated[list[Message], Field(min_length=1, max_length=10_000)]
 
     def prompt_text(self) -> str:
-        """Return the contents of all messages, a line each."""
+        """Return the contents of all messages, one per line."""
         return "\n".join(message.content for message in self.messages)
 
 
@@ -67,7 +67,7 @@
     Raises
     ------
     EndiveError
-        ``malformed_body``.
+        ``malformed_body`` if `data` is not JSON.
     """
     try:
         return msgspec.json.decode(data)
@@ -78,12 +78,13 @@
 
 
 def parse_body(endpoint: Endpoint, data: bytes) -> ChatBody | CompletionBody:
-    """Return the checked body of a call to `endpoint`.
+    """Return the validated body of a call to `endpoint`.
 
     Raises
     ------
     EndiveError
-        ``malformed_body``, ``unknown_field`` or ``invalid_field``, with the fields.
+        ``malformed_body``, ``unknown_field`` or ``invalid_field``, with the fields
+        concerned.
     """
     value = decode_json(data)
     try:
--- a/packages/endive_core/src/endive_core/calls.py
+++ b/packages/endive_core/src/endive_core/calls.py
@@ -1,4 +1,4 @@
-"""What the decisions know of one request: its call, its ticket, and the verdicts."""
+"""Scheduling state of one request: its call, its ticket, and the decisions on it."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum, StrEnum
@@ -7,12 +7,12 @@
 from endive_core.prefixes import BLOCK_TOKENS
 
 BULK_LEVEL = -1000
-"""Added to the level of bulk work, below every declared priority level."""
+"""Offset to the level of bulk calls, which puts them below every declared priority."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallWeights:
-    """How a call's deployment weighs waiting against recomputing, both in seconds."""
+    """Weights of a second of waiting and a second of recomputing in placement."""
 
     wait: float = 1.0
     recompute: float = 1.0
@@ -28,20 +28,20 @@
     Attributes
     ----------
     level : int
-        Level of the priority; a higher level goes first.
+        Level of the priority; a higher level is served first.
     bulk : bool
         Whether it has no first-token target and only fills idle capacity.
     prompt_tokens, max_tokens : int
-        Estimated prompt length, and the most tokens the answer may have.
+        Estimated prompt length, and the maximum length of the answer.
     blocks : tuple of int
         Chained hashes of the leading prompt blocks; empty for plain services.
     block_ends : tuple of int
-        Prompt tokens up to the end of each block, where the caller names parts of
-        its prompt that differ in length; empty where all blocks are equally long.
+        Prompt tokens up to the end of each block, if the caller names parts of its
+        prompt that differ in length; empty if all blocks are equally long.
     target_s : float
-        First-token target in seconds.
+        Latency target for the first token, seconds.
     deadline : float or None
-        Clock time in seconds after which the answer is worthless.
+        Clock time in seconds after which the answer is of no use.
     """
 
     request_id: str
@@ -61,7 +61,7 @@
 
     @property
     def rank(self) -> int:
-        """Level with bulk below everything else."""
+        """The level, with all bulk calls below all others."""
         return self.level + BULK_LEVEL if self.bulk else self.level
 
     def cached_tokens(self, blocks: int) -> int:
@@ -72,7 +72,7 @@
 
     @property
     def tokens(self) -> int:
-        """Most tokens the call can cost, prompt and answer."""
+        """Maximum cost of the call in tokens, prompt and answer."""
         return self.prompt_tokens + self.max_tokens
 
 
@@ -85,7 +85,7 @@
 
 
 class Stage(StrEnum):
-    """Where a ticket is between admission and its end."""
+    """Stage of a ticket between admission and its end."""
 
     QUEUED = "queued"
     DISPATCHED = "dispatched"
@@ -102,10 +102,10 @@
     cost : float
         Tokens charged to the organisation, an estimate until the end.
     server : str
-        Server of the attempt under way; empty while queued.
-    load : object
-        The state of that server to which the attempt was counted; a server that goes
-        and comes back under its id starts with another one.
+        Server of the current attempt; empty while queued.
+    server_load : object
+        The load state of that server that counts the attempt. A server that is removed
+        and added again under the same id has another one.
     uncached_tokens : float
         Prompt tokens that placement expected the server to compute.
     avoid : set of str
@@ -113,13 +113,14 @@
     predicted_s : float
         Mean wait in the queue that admission predicted, seconds.
     tier : Tier
-        The tier for which it was predicted.
+        The tier for which the wait was predicted.
     suspect : bool
         Whether a server crashed while it ran this call.
     yields : bool
-        Whether it goes behind all others at its server, see :mod:`.placement`.
+        Whether its prompt is computed after all others at its server, see
+        :mod:`.placement`.
     refusal : Refusal or None
-        Why a queued ticket was given up.
+        Why a queued ticket expired.
     """
 
     call: Call
@@ -143,12 +144,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A call that was not taken, and when coming back is worth it.
+    """Why a call was refused, and when a retry is worthwhile.
 
     Attributes
     ----------
     retry_after_s : float or None
-        Seconds; ``None`` where coming back cannot help.
+        Seconds until then; ``None`` if a retry cannot succeed.
     """
 
     kind: ErrorKind
@@ -159,7 +160,7 @@
     def because(
         cls, kind: ErrorKind, message: str, retry_after_s: float | None = None
     ) -> "Refusal":
-        """Return a refusal; the table's time to come back if none is known better."""
+        """Return a refusal; by default with the time to retry declared for `kind`."""
         if retry_after_s is None:
             retry_after_s = ANSWERS[kind].retry_after_s
         return cls(kind, retry_after_s, message)
--- a/packages/endive_core/src/endive_core/catalogue.py
+++ b/packages/endive_core/src/endive_core/catalogue.py
@@ -1,4 +1,4 @@
-"""The configuration as the serving path looks it up: parsed, and indexed by use."""
+"""The parsed configuration, indexed for the lookups of request handling."""
 
 import hashlib
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 )
 
 DEFAULT_PRIORITY = "default"
-"""The priority of a request that names none; it need not be declared."""
+"""Priority of a request that names none; it need not be declared."""
 
 
 def hash_key(key: str) -> str:
@@ -26,10 +26,10 @@
 
 @dataclass
 class Catalogue:
-    """Parsed resources by name, kept in step with the fold.
+    """Parsed resources by name, kept in sync with the configuration fold.
 
-    Only resources that changed are parsed again, so that one change of 11,000 a day
-    costs the same with 10 servers as with 2,600.
+    Only changed resources are parsed again, so that a change costs the same with 10
+    servers as with 2,600; there may be 11,000 changes a day.
     """
 
     offset: int = -1
@@ -43,7 +43,7 @@
     by_key_hash: dict[str, str] = field(default_factory=dict)
 
     def refresh(self, fold: ConfigurationFold) -> set[tuple[str, str]]:
-        """Take over what changed in `fold`; return the (kind, name) pairs."""
+        """Apply the changes in `fold`; return the (kind, name) pairs that changed."""
         if fold.offset == self.offset:
             return set()
         self.offset = fold.offset
@@ -81,8 +81,8 @@
         return self._table(kind).get(name)
 
     def _index(self) -> None:
-        # The first by name answers for a model that two deployments name, so that
-        # every node agrees on it whatever order it learnt of them in.
+        # If two deployments name the same model, the first by name serves it, so that
+        # all nodes agree whatever the order in which they received them.
         self.by_model = {
             deployment.model: name
             for name, deployment in sorted(self.deployments.items(), reverse=True)
@@ -94,7 +94,7 @@
         }
 
     def deployment_for(self, model: str) -> tuple[str, Deployment]:
-        """Return name and deployment that answer for `model`.
+        """Return name and spec of the deployment that serves `model`.
 
         Raises
         ------
--- a/packages/endive_core/src/endive_core/messages.py
+++ b/packages/endive_core/src/endive_core/messages.py
@@ -1,11 +1,11 @@
-"""Data that travels inside a node: requests, pieces of answers, views of servers."""
+"""Data passed between a node's components: requests, answer pieces, server views."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import Any
 
 CHARACTERS_PER_TOKEN = 4
-"""Rough length of a token, for estimates before an engine has counted."""
+"""Approximate length of a token, for estimates before an engine has counted them."""
 
 
 class Endpoint(StrEnum):
@@ -23,19 +23,19 @@
     Attributes
     ----------
     body : dict
-        The caller's JSON body, checked; what the backend server is sent.
+        The caller's validated JSON body, as sent to the backend server.
     prompt : str
         All prompt text in order, for prefix affinity and estimates.
     max_tokens : int
-        Most tokens the answer may have.
+        Maximum length of the answer.
     deadline : float or None
-        Clock time in seconds after which the answer is worthless.
+        Clock time in seconds after which the answer is of no use.
     key : str
         The caller's idempotency key, scoped by organisation; empty if none.
     non_idempotent : bool
         Whether the request may run at most once.
     key_time : float or None
-        When the caller first sent the key, seconds since 1970, if it told.
+        When the caller first sent the key, seconds since 1970, if given.
     """
 
     request_id: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Piece:
-    """One piece of an answer, named so that a late or foreign one is recognised.
+    """One piece of an answer, labelled so that a late or unrelated one is recognised.
 
     Attributes
     ----------
@@ -84,14 +84,14 @@
 
 @dataclass
 class ServerView:
-    """What a node knows of one backend server when it decides.
+    """State of one backend server as scheduling decisions see it.
 
     Attributes
     ----------
     sent_since_report : int
-        Requests this node sent after the state that the last report describes.
+        Requests this node has sent since the state that the last report describes.
     reported_running, reported_waiting : int
-        The server's own last report, which lags.
+        Requests running and waiting in the server's last report, which lags behind.
     """
 
     id: str
--- a/packages/endive_core/src/endive_core/policy.py
+++ b/packages/endive_core/src/endive_core/policy.py
@@ -1,9 +1,9 @@
-"""Limits of the decisions under load: units, bounds and defaults.
+"""Parameters of admission, queueing, placement and retries: units, bounds, defaults.
 
-The defaults are justified by ``make bench-decisions``; docs/DECISIONS.md has the
-figures. A node's settings hold them as a table, which is checked against the bounds
-given here; inside, they are a plain data class, so that a process that takes them as
-they are starts without a validation library.
+The benchmark ``make bench-decisions`` justifies the defaults; docs/DECISIONS.md has its
+figures. A node's settings hold the parameters as a table, which is validated against
+the bounds given here. The class itself is a plain dataclass, so that a process that
+uses the defaults starts without a validation library.
 """
 
 from dataclasses import dataclass, field
@@ -11,14 +11,14 @@
 
 
 def limit(default: Any, description: str, **bounds: float) -> Any:
-    """Return the field of one limit.
+    """Return the dataclass field of one parameter.
 
     Parameters
     ----------
     description : str
-        What it bounds, with its unit; shown to operators.
+        Meaning and unit; shown to operators.
     **bounds : float
-        Least and most values, by the names ``gt``, ``ge``, ``lt`` and ``le``.
+        Bounds of the value, named ``gt``, ``ge``, ``lt`` and ``le``.
     """
     return field(
         default=default, metadata={"description": description, "bounds": bounds}
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """How one node admits, queues, places, shifts and retries.
+    """How one node admits, queues, places, moves and retries calls.
 
-    Operators meet it as the ``[policy]`` table of a node's settings.
+    Operators set it in the ``[policy]`` table of a node's settings.
     """
 
     admission_margin: float = limit(
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -1,8 +1,9 @@
-"""The facade of the decisions under load: one scheduler for each service and node.
+"""Facade of admission, queueing, placement and retries: one scheduler per service.
 
-It holds the state that admission, queueing, placement, shifting and retries share,
-and does no I/O: the node tells it what happened and does what it answers. Time comes
-in as an argument, randomness as an object, and it is used from one thread.
+Each node has one scheduler for each service. It holds the state that admission,
+queueing, placement, stream moves and retries share, and does no I/O: the node reports
+events to it and carries out its decisions. Time is an argument, randomness an object.
+It is not thread-safe.
 """
 
 from collections import Counter
@@ -32,18 +33,18 @@
 
 
 class Scheduler:
-    """Decides for one service at one node.
+    """Schedules the calls of one service at one node.
 
     Parameters
     ----------
     policy : Policy
-        Limits, from the node's settings.
+        Limits and weights from the node's settings.
     random : Random
         Source of randomness, seeded by the node.
     crashes : CrashTable
         Shared by the node's schedulers, and merged with other nodes'.
     prefill : PrefillRate or None
-        Learns the servers' prefill rate, where operators don't declare it.
+        Learns the servers' prefill rate if operators don't declare it.
     """
 
     def __init__(
@@ -86,50 +87,50 @@
 
     @classmethod
     def from_policy(cls, policy: Policy, random: Random, **options) -> "Scheduler":
-        """Return a scheduler with the limits in `policy`."""
+        """Return a scheduler with the limits in `policy`; see the class."""
         return cls(policy, random, **options)
 
-    # What the node knows
+    # State reported by the node
 
     def set_servers(self, views: Iterable[ServerView]) -> None:
-        """Take over the servers that the configuration declares."""
+        """Apply the servers that the configuration declares."""
         if self.servers.set_servers(views):
             self.placement.set_members(list(self.servers.servers))
 
     def set_nodes(self, nodes: int) -> None:
-        """Take over the number of live nodes, this one included."""
+        """Set the number of live nodes, this one included."""
         self.servers.nodes = max(1, nodes)
 
     def set_organisations(self, organisations: dict[str, "Organisation"]) -> None:
-        """Take over the declared organisations with their shares and limits."""
+        """Apply the declared organisations with their shares and limits."""
         self.admission.set_organisations(organisations)
         self.queue.shares = {name: o.share for name, o in organisations.items()}
 
     def set_deployments(self, deployments: dict[str, "Deployment"]) -> None:
-        """Take over the deployments that use this service."""
+        """Apply the deployments that use this service."""
         self.failures.set_deployments(deployments)
 
     def report(
         self, server_id: str, running: int, waiting: int, *, as_of: float
     ) -> None:
-        """Take over a server's load report of its state at clock time `as_of`."""
+        """Apply a server's load report of its state at clock time `as_of`, seconds."""
         self.servers.report(server_id, running, waiting, as_of=as_of)
 
     def cache_event(
         self, server_id: str, seq: int, *, stored: bool, blocks: list[int]
     ) -> None:
-        """Take over one cache event of a server."""
+        """Apply one cache event of a server."""
         self.placement.prefixes.event(server_id, seq, stored=stored, blocks=blocks)
 
     def leaving(self, server_id: str) -> None:
-        """Give a server no new work any more."""
+        """Mark a server as leaving, so that it gets no new calls."""
         server = self.servers.servers.get(server_id)
         if server is not None:
             server.view.leaving = True
             self.servers.refresh(server)
 
     def leaving_zone(self, zone: str) -> None:
-        """Give all servers of a zone under notice no new work any more."""
+        """Mark all servers of a zone under reclaim notice as leaving."""
         for server in self.servers.servers.values():
             if server.view.zone == zone:
                 self.leaving(server.id)
@@ -147,10 +148,10 @@
     def take_over(self, call: Call, now: float) -> Ticket | Refusal:
         """Queue a call that was accepted already, here or at another node.
 
-        The load this is for: a zone's nodes hand thousands of calls over within a
-        second. What is accepted is answered, so they are neither refused for the
-        wait that they cause nor held to a limit they have passed; only a call that
-        crashes servers ends here.
+        The nodes of a zone may hand over thousands of calls within a second. An
+        accepted call must be answered, so it is neither refused for a long wait nor
+        checked against a limit it has passed before. Only a call that crashes servers
+        is refused.
         """
         if self.crashes.is_poison(call.fingerprint, now):
             self.refusals[ErrorKind.POISON_REQUEST] += 1
@@ -165,9 +166,9 @@
         return ticket
 
     def next_dispatch(self, now: float) -> Dispatch | None:
-        """Return the next ticket to send and its server, or ``None`` for now.
+        """Return the next ticket to send and its server, or ``None`` if there is none.
 
-        Call it after each offer, end and report, until it returns ``None``.
+        To be called after each offer, end and report, until it returns ``None``.
         """
         self._tick(now)
         for ticket in self.queue.heads(self.policy.queue_heads_tried):
@@ -186,7 +187,11 @@
     def _server_in_time(
         self, ticket: Ticket, server: ServerLoad, now: float
     ) -> ServerLoad | None:
-        """Return `server`, a sooner one if it would be late, or give the call up."""
+        """Return `server`, or an earlier one if it would be late.
+
+        If all would begin after the call's deadline, the call expires and the result
+        is ``None``.
+        """
         outlook = self.placement.outlook(ticket, server, now)
         if outlook.late_s:
             tier = self.usage.tier(ticket.call)
@@ -214,11 +219,11 @@
         self.expiry.expire_without_servers(now)
 
     def close(self) -> None:
-        """Give up what is queued: the service is no longer declared."""
+        """Expire all queued calls, since the service is no longer declared."""
         self.expiry.expire_all("the service was deleted")
 
     def take_expired(self) -> list[Ticket]:
-        """Return the queued tickets given up since the last call."""
+        """Return the queued tickets expired since the last call."""
         return self.expiry.take()
 
     def _dispatched(self, ticket: Ticket, server: ServerLoad, now: float) -> None:
@@ -241,10 +246,10 @@
         if ticket.call.blocks:
             self.placement.prefixes.add(server.id, ticket.call.blocks)
 
-    # What became of a dispatch
+    # Outcome of an attempt
 
     def started(self, ticket: Ticket, now: float) -> None:
-        """Note the first token of the attempt under way."""
+        """Record the first token of the current attempt."""
         if ticket.stage is not Stage.DISPATCHED:
             return
         ticket.stage = Stage.STREAMING
@@ -267,7 +272,7 @@
         server.starting_suspects -= ticket.suspect
 
     def finished(self, ticket: Ticket, now: float, *, tokens: int = 1) -> None:
-        """Note the whole answer; `tokens` is its length."""
+        """Record the complete answer; `tokens` is its length."""
         ticket.tokens = tokens
         self.queue.settle(ticket, ticket.call.prompt_tokens + tokens)
         self.admission.answered(ticket, now)
@@ -276,7 +281,7 @@
         self.admission.end(ticket)
 
     def cancelled(self, ticket: Ticket, now: float) -> None:
-        """Note that the caller hung up."""
+        """Record that the caller disconnected."""
         if ticket.stage is Stage.ENDED:
             return
         if ticket.stage is Stage.QUEUED:
@@ -295,14 +300,19 @@
         crashed: str = "",
         max_attempts: int = 4,
     ) -> Retry | Refusal:
-        """Note a failed attempt; return whether and when it may be queued again.
+        """Record a failed attempt and decide whether and when it is retried.
 
         Parameters
         ----------
         started : bool
-            Whether the server may have run anything of it.
+            Whether the server may have executed any part of it.
         crashed : str
-            If the server crashed: its name with the number of its incarnation.
+            If the server crashed, its name with the number of its incarnation.
+
+        Returns
+        -------
+        Retry or Refusal
+            The delay before the ticket may be queued again, or why it may not be.
         """
         server = self._server_load_of(ticket)
         self.failures.suspect(ticket, crashed, now)
@@ -323,10 +333,10 @@
     def blame(
         self, ticket: Ticket, now: float, reason: RetryReason, *, started: bool
     ) -> None:
-        """Count a failed attempt against its server though there is no further one.
+        """Count a failed attempt against its server although it is not retried.
 
-        Most requests may not be sent twice. A server that fails them would else look
-        as good as the others, and better by how soon it is idle again.
+        Most requests must not be sent twice. If their failures did not count, a failing
+        server would look as good as the others, or better, since it is idle sooner.
         """
         self._count_server_failure(
             self._server_load_of(ticket), now, reason, started=started
@@ -347,14 +357,14 @@
             self.outliers.failed(server)
 
     def requeue(self, ticket: Ticket) -> None:
-        """Queue a failed or moving ticket again, before its organisation's others."""
+        """Queue a failed or moving ticket again, at its organisation's head."""
         ticket.stage = Stage.QUEUED
         self.queue.push(ticket, front=True)
 
     def shifts(self, server_id: str, *, seconds_left: float) -> list[Shift]:
-        """Return how this node's streams leave a server under notice.
+        """Return how this node's streams leave a server under reclaim notice.
 
-        The node stops each at the source, then calls :meth:`moved`.
+        The node stops each stream at the source, then calls :meth:`moved`.
         """
         server = self.servers.servers[server_id]
         return plan_shifts(
@@ -366,7 +376,7 @@
         )
 
     def moved(self, ticket: Ticket, now: float, *, tokens: int) -> None:
-        """Queue a stream that was stopped at its source with `tokens` made so far."""
+        """Queue a stream that was stopped at its source after `tokens` tokens."""
         ticket.tokens = tokens
         ticket.avoid.add(ticket.server)
         self._release(ticket, now)
@@ -374,12 +384,12 @@
         self.requeue(ticket)
 
     def _server_load_of(self, ticket: Ticket) -> ServerLoad | None:
-        """Return the server of the attempt under way, unless it went meanwhile."""
+        """Return the server of the current attempt, or ``None`` if it was removed."""
         server = self.servers.servers.get(ticket.server)
         return server if server is ticket.server_load else None
 
     def _release(self, ticket: Ticket, now: float) -> None:
-        if not ticket.server:  # released already: cancelled while waiting to retry
+        if not ticket.server:  # already released: cancelled while waiting for a retry
             return
         self.usage.release(ticket.call.organisation)
         self.running.get(ticket.server, set()).discard(ticket)
--- a/packages/endive_core/src/endive_core/service_types.py
+++ b/packages/endive_core/src/endive_core/service_types.py
@@ -4,7 +4,7 @@
 
 
 class ServiceType(StrEnum):
-    """What kind of server a backend server service runs."""
+    """Kind of server that a backend server service runs."""
 
     ENGINE = "engine"
     PLAIN = "plain"
