--- a/packages/endive_core/tests/test_backlogs.py
+++ b/packages/endive_core/tests/test_backlogs.py
@@ -10,54 +10,54 @@
 
 RATE = 39_000.0
 NODES, SERVERS = 7, 12
-TELL_S = 0.2
-ASKED_PER_S = 38.0
+BROADCAST_INTERVAL_S = 0.2
+REQUESTS_PER_S = 38.0
 LONG_TOKENS = 40_000
 SHORT_TARGET_S = 0.4
 
 
-def test_what_a_node_told_is_taken_off_as_the_server_computes():
-    made = Backlogs()
-    made.hear("a", {"s1": 30_000.0}, 10.0)
-    made.hear("b", {"s1": 9_000.0, "s2": 2_000.0}, 10.0)
-    assert made.tokens("s1", 10.0, RATE) == 39_000.0
-    assert made.tokens("s1", 10.5, RATE) == pytest.approx(19_500.0)
-    assert made.tokens("s1", 11.5, RATE) == 0.0
-    assert made.tokens("s3", 10.0, RATE) == 0.0
-
-
-def test_the_newest_telling_of_a_node_replaces_its_last():
-    made = Backlogs()
-    made.hear("a", {"s1": 5_000.0, "s2": 1_000.0}, 10.0)
-    made.hear("a", {"s1": 2_000.0}, 10.2)
-    assert made.tokens("s1", 10.2, RATE) == 2_000.0
-    assert made.tokens("s2", 10.2, RATE) == 0.0
-    made.hear("a", {}, 10.4)
-    assert not made.by_server
-
-
-def test_a_node_that_fell_silent_is_forgotten():
-    """It was killed in the middle of a long prompt. Its server would look busy for as
-    long as nobody says otherwise."""
-    made = Backlogs()
-    made.hear("a", {"s1": 1e9}, 10.0)
-    assert made.tokens("s1", 10.0 + PEER_EXPIRY_S, RATE) == 0.0
-
-
-def test_a_prompt_told_at_once_counts_until_the_next_telling():
-    made = Backlogs()
-    made.hear("a", {"s1": 2_000.0}, 10.0)
-    made.add("a", "s1", 50_000.0, 10.1)
-    made.add("b", "s2", 20_000.0, 10.1)
-    assert made.tokens("s1", 10.1, RATE) == 52_000.0
-    assert made.tokens("s2", 10.1, RATE) == 20_000.0
-    made.hear("a", {"s1": 40_000.0}, 10.3)
-    made.hear("b", {}, 10.3)
-    assert made.tokens("s1", 10.3, RATE) == 40_000.0
-    assert made.tokens("s2", 10.3, RATE) == 0.0
-
-
-def test_few_and_large_ones_are_told():
+def test_a_reported_backlog_shrinks_as_the_server_computes():
+    backlogs = Backlogs()
+    backlogs.hear("a", {"s1": 30_000.0}, 10.0)
+    backlogs.hear("b", {"s1": 9_000.0, "s2": 2_000.0}, 10.0)
+    assert backlogs.tokens("s1", 10.0, RATE) == 39_000.0
+    assert backlogs.tokens("s1", 10.5, RATE) == pytest.approx(19_500.0)
+    assert backlogs.tokens("s1", 11.5, RATE) == 0.0
+    assert backlogs.tokens("s3", 10.0, RATE) == 0.0
+
+
+def test_the_newest_broadcast_of_a_node_replaces_its_last():
+    backlogs = Backlogs()
+    backlogs.hear("a", {"s1": 5_000.0, "s2": 1_000.0}, 10.0)
+    backlogs.hear("a", {"s1": 2_000.0}, 10.2)
+    assert backlogs.tokens("s1", 10.2, RATE) == 2_000.0
+    assert backlogs.tokens("s2", 10.2, RATE) == 0.0
+    backlogs.hear("a", {}, 10.4)
+    assert not backlogs.by_server
+
+
+def test_the_backlog_of_a_silent_node_expires():
+    """A node is killed in the middle of a long prompt. Without expiry, the server would
+    look busy for good."""
+    backlogs = Backlogs()
+    backlogs.hear("a", {"s1": 1e9}, 10.0)
+    assert backlogs.tokens("s1", 10.0 + PEER_EXPIRY_S, RATE) == 0.0
+
+
+def test_a_prompt_reported_at_once_counts_until_the_next_broadcast():
+    backlogs = Backlogs()
+    backlogs.hear("a", {"s1": 2_000.0}, 10.0)
+    backlogs.add("a", "s1", 50_000.0, 10.1)
+    backlogs.add("b", "s2", 20_000.0, 10.1)
+    assert backlogs.tokens("s1", 10.1, RATE) == 52_000.0
+    assert backlogs.tokens("s2", 10.1, RATE) == 20_000.0
+    backlogs.hear("a", {"s1": 40_000.0}, 10.3)
+    backlogs.hear("b", {}, 10.3)
+    assert backlogs.tokens("s1", 10.3, RATE) == 40_000.0
+    assert backlogs.tokens("s2", 10.3, RATE) == 0.0
+
+
+def test_only_the_largest_backlogs_are_sent():
     own = {f"s{n}": 1_000.0 + n for n in range(100)} | {"small": 10.0}
     told = told_tokens(own)
     assert len(told) == MAX_SERVERS_SENT
@@ -65,13 +65,13 @@
     assert told_tokens({"small": 10.0}) == {}
 
 
-def late_part(*, telling: bool, seconds: float = 60.0) -> float:
-    """Return the part of short prompts whose first token came late.
+def late_share(*, broadcasting: bool, seconds: float = 60.0) -> float:
+    """Simulate and return the late short prompts as a share of all prompts.
 
-    Nodes stand before servers that compute one prompt after the other. Prompts have a
-    heavy tail: a mean of 4,000 tokens, one in thirty of 40,000.
+    The servers compute one prompt after the other. Prompt lengths have a heavy tail: a
+    mean of 4,000 tokens, and one in thirty of 40,000.
     """
-    chances = Random(11)
+    random = Random(11)
     nodes = [Scheduler.from_policy(Policy(), Random(n)) for n in range(NODES)]
     backlogs = [Backlogs() for _ in nodes]
     for node, backlog in zip(nodes, backlogs, strict=True):
@@ -79,21 +79,23 @@
         node.set_servers(view(f"s{i}", slots=64, prefill=RATE) for i in range(SERVERS))
         node.placement.backlogs = backlog
     free_at = {f"s{i}": 0.0 for i in range(SERVERS)}
-    events = [(TELL_S * n / NODES, n, "tell", n) for n in range(NODES)]
-    events.append((0.0, NODES, "ask", 0))
+    events = [
+        (BROADCAST_INTERVAL_S * n / NODES, n, "broadcast", n) for n in range(NODES)
+    ]
+    events.append((0.0, NODES, "request", 0))
     heapq.heapify(events)
     order, late, asked = NODES, 0, 0
     while events:
-        now, _, act, given = heapq.heappop(events)
+        now, _, act, payload = heapq.heappop(events)
         order += 1
-        if act == "ask" and now < seconds:
-            gap_s = chances.expovariate(ASKED_PER_S)
-            heapq.heappush(events, (now + gap_s, order, "ask", 0))
-            node = nodes[chances.randrange(NODES)]
-            tokens = chances.randrange(5_600)
-            if chances.random() < 1 / 30:
+        if act == "request" and now < seconds:
+            gap_s = random.expovariate(REQUESTS_PER_S)
+            heapq.heappush(events, (now + gap_s, order, "request", 0))
+            node = nodes[random.randrange(NODES)]
+            tokens = random.randrange(5_600)
+            if random.random() < 1 / 30:
                 tokens = LONG_TOKENS
-            node.offer(asked_for(asked, tokens), now)
+            node.offer(prompt_call(asked, tokens), now)
             asked += 1
             for sent in dispatch_all(node, now):
                 begins = max(now, free_at[sent.server])
@@ -101,28 +103,32 @@
                 free_at[sent.server] = first_at
                 is_short = sent.ticket.call.prompt_tokens < LONG_TOKENS
                 late += is_short and first_at - now > SHORT_TARGET_S
-                heapq.heappush(events, (first_at, order, "first", (node, sent.ticket)))
-        elif act == "first":
-            given[0].started(given[1], now)
-            given[0].finished(given[1], now)
-        elif act == "tell" and now < seconds:
-            heapq.heappush(events, (now + TELL_S, order, "tell", given))
-            loads = nodes[given].servers.servers.values()
+                heapq.heappush(
+                    events, (first_at, order, "first_token", (node, sent.ticket))
+                )
+        elif act == "first_token":
+            payload[0].started(payload[1], now)
+            payload[0].finished(payload[1], now)
+        elif act == "broadcast" and now < seconds:
+            heapq.heappush(
+                events, (now + BROADCAST_INTERVAL_S, order, "broadcast", payload)
+            )
+            loads = nodes[payload].servers.servers.values()
             own = {load.id: load.starting_tokens for load in loads}
             for other in range(NODES):
-                if telling and other != given:
-                    backlogs[other].hear(str(given), told_tokens(own), now)
+                if broadcasting and other != payload:
+                    backlogs[other].hear(str(payload), told_tokens(own), now)
     return late / asked
 
 
-def asked_for(number: int, tokens: int) -> Call:
+def prompt_call(number: int, tokens: int) -> Call:
     return call(number, prompt_tokens=tokens, max_tokens=1, target_s=100.0)
 
 
-def test_short_prompts_wait_behind_few_long_ones():
+def test_shared_backlogs_keep_short_prompts_away_from_long_ones():
     """Seven nodes send 38 prompts a second to twelve servers, one in thirty of them so
-    long that its server needs a second for it. No node sees what the others have sent;
-    who comes to such a server gets the first token late, while others idle: 7.4 in 100
-    short prompts later than 0.4 s before, 3.0 after."""
-    alone, told = late_part(telling=False), late_part(telling=True)
-    assert told < 0.5 * alone
+    long that its server needs a second for it. If no node knows what the others have
+    sent, short prompts are placed behind long ones while other servers idle: 7.4% of
+    the short prompts are later than 0.4 s without broadcasts, 3.0% with them."""
+    alone, shared = late_share(broadcasting=False), late_share(broadcasting=True)
+    assert shared < 0.5 * alone
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_counting.py
@@ -14,7 +14,7 @@
 WINDOW_S = 4.0
 MOST = (RATE * WINDOW_S + BURST) * 1.1 + SLACK
 UNITS = 20.0
-TELL_S = 1.0
+BROADCAST_INTERVAL_S = 1.0
 DELAY_S = 0.005
 
 
@@ -23,30 +23,32 @@
         self.name = name
         self.limits = SharedLimits(now, slack=SLACK)
         self.count = SpendingCount()
-        self.tellings = 0
+        self.sequence = 0
 
 
 class Fleet:
-    """Nodes that tell each other all of their spending once a second, one after the
-    other, and each admitted request at once to the counting node.
+    """Simulated nodes that broadcast all of their spending once a second, one after the
+    other, and report each admitted request at once to the coordinator.
 
     Parameters
     ----------
+    updates : bool
+        Whether admitted requests are reported at once.
     lost : callable
-        Says whether a note between two nodes is lost.
-    asking : bool
-        Whether nodes ask the counting node for more than their even part.
+        Returns whether an update between two nodes is lost.
+    grants : bool
+        Whether nodes ask the coordinator for more than their even part.
     delay_s : float
-        Time of each datagram on its way and in queues.
+        Delay of each datagram in the network and in queues.
     """
 
     def __init__(
         self,
         size,
         *,
-        counting=True,
+        updates=True,
         lost=lambda: False,
-        asking=False,
+        grants=False,
         delay_s=DELAY_S,
     ):
         self.now = 0.0
@@ -54,109 +56,109 @@
         for node in self.nodes.values():
             for other in self.nodes.keys() - {node.name}:
                 node.limits.expect(other, 0.0)
-        self.counting = counting
+        self.updates = updates
         self.lost = lost
-        self.asking = asking
+        self.grants = grants
         self.delay_s = delay_s
         self.admitted = []
         self.order = itertools.count()
         self.queue = []
-        self.notes = 0
+        self.updates_sent = 0
         for index, node in enumerate(self.nodes.values()):
-            self.later(TELL_S * index / size, self.tell, node)
+            self.schedule(BROADCAST_INTERVAL_S * index / size, self.broadcast, node)
 
-    def later(self, delay_s, act, *arguments):
+    def schedule(self, delay_s, act, *arguments):
         heapq.heappush(
             self.queue, (self.now + delay_s, next(self.order), act, arguments)
         )
 
-    def tell(self, node):
-        node.tellings += 1
+    def broadcast(self, node):
+        node.sequence += 1
         spent = dict(node.limits.tell())
         for other in self.nodes.values():
             if other is not node:
-                self.later(
-                    self.delay_s, self.hear, other, node.name, spent, node.tellings
+                self.schedule(
+                    self.delay_s, self.hear, other, node.name, spent, node.sequence
                 )
-        self.later(TELL_S, self.tell, node)
+        self.schedule(BROADCAST_INTERVAL_S, self.broadcast, node)
 
-    def hear(self, node, sender, spent, tellings):
-        node.limits.hear(self.spender(sender, tellings), spent, self.now)
+    def hear(self, node, sender, spent, sequence):
+        node.limits.hear(self.spender(sender, sequence), spent, self.now)
 
-    def spender(self, name, tellings):
-        return Spender(name, 1, tellings, age_s=self.now)
+    def spender(self, name, sequence):
+        return Spender(name, 1, sequence, age_s=self.now)
 
-    def note(self, receiver, entries):
-        self.notes += 1
+    def send_update(self, receiver, entries):
+        self.updates_sent += 1
         if not self.lost():
-            self.later(self.delay_s, self.hear_notes, receiver, entries)
+            self.schedule(self.delay_s, self.receive_updates, receiver, entries)
 
-    def hear_notes(self, node, entries):
-        for name, units, tellings in entries:
+    def receive_updates(self, node, entries):
+        for name, units, sequence in entries:
             if name == node.name:
                 continue
-            spender = self.spender(name, tellings)
+            spender = self.spender(name, sequence)
             new = node.limits.note(spender, "o", units, self.now)
             if counting_node("o", self.nodes) == node.name:
-                self.counted(node, name, new)
+                self.count_at_coordinator(node, name, new)
 
-    def counted(self, counter, name, units):
-        counter.count.add("o", name, units)
-        left, most = counter.limits.left("o", self.now, rate=RATE, burst=BURST)
-        due = counter.count.take_due("o", left=left, most=most)
-        entries = [self.entry(counter, name) for name in due]
+    def count_at_coordinator(self, coordinator, name, units):
+        coordinator.count.add("o", name, units)
+        left, most = coordinator.limits.left("o", self.now, rate=RATE, burst=BURST)
+        due = coordinator.count.take_due("o", left=left, most=most)
+        entries = [self.entry(coordinator, name) for name in due]
         for other in self.nodes.values():
-            if entries and other is not counter:
-                self.note(other, entries)
+            if entries and other is not coordinator:
+                self.send_update(other, entries)
 
-    def entry(self, counter, name):
-        spent = counter.limits.tell()
-        if name != counter.name:
-            spent = counter.limits.peers[name].spent
-        return name, spent["o"], self.nodes[name].tellings
+    def entry(self, coordinator, name):
+        spent = coordinator.limits.tell()
+        if name != coordinator.name:
+            spent = coordinator.limits.peers[name].spent
+        return name, spent["o"], self.nodes[name].sequence
 
     def request(self, node):
-        counter = self.nodes[counting_node("o", self.nodes)]
+        coordinator = self.nodes[counting_node("o", self.nodes)]
         left, _ = node.limits.left("o", self.now, rate=RATE, burst=BURST)
         even = may_spend_unasked(UNITS, left=left, nodes=len(self.nodes))
-        if self.asking and node is not counter and left > 0 and not even:
+        if self.grants and node is not coordinator and left > 0 and not even:
             if 2 * self.delay_s < ASK_S and not self.lost():
-                self.later(self.delay_s, self.grant, counter, node)
+                self.schedule(self.delay_s, self.grant, coordinator, node)
             return
         if node.limits.wait_s("o", UNITS, self.now, rate=RATE, burst=BURST):
             return
         self.admitted.append(self.now)
-        if counter is node:
-            self.counted(node, node.name, UNITS)
-        elif self.counting:
-            self.note(counter, [self.entry(node, node.name)])
+        if coordinator is node:
+            self.count_at_coordinator(node, node.name, UNITS)
+        elif self.updates:
+            self.send_update(coordinator, [self.entry(node, node.name)])
 
-    def grant(self, counter, node):
+    def grant(self, coordinator, node):
         total = node.limits.tell().get("o", 0.0) + UNITS
-        spender = self.spender(node.name, node.tellings)
-        wait_s = counter.limits.grant(
+        spender = self.spender(node.name, node.sequence)
+        wait_s = coordinator.limits.grant(
             spender, "o", total, self.now, rate=RATE, burst=BURST
         )
         if wait_s == 0.0:
-            self.counted(counter, node.name, UNITS)
-            self.later(self.delay_s, self.granted, node)
+            self.count_at_coordinator(coordinator, node.name, UNITS)
+            self.schedule(self.delay_s, self.granted, node)
 
     def granted(self, node):
         node.limits.spend("o", UNITS)
         self.admitted.append(self.now)
 
-    def flood(self, until, asked_per_s):
-        """Ask the nodes in turn; return the times of what was admitted."""
-        gap = UNITS / asked_per_s
+    def flood(self, until, units_per_s):
+        """Send requests to the nodes in turn; return the times of those admitted."""
+        gap = UNITS / units_per_s
         nodes = itertools.cycle(self.nodes.values())
-        asked_at = self.now
-        while asked_at < until:
-            while self.queue and self.queue[0][0] <= asked_at:
+        sent_at = self.now
+        while sent_at < until:
+            while self.queue and self.queue[0][0] <= sent_at:
                 self.now, _, act, arguments = heapq.heappop(self.queue)
                 act(*arguments)
-            self.now = asked_at
+            self.now = sent_at
             self.request(next(nodes))
-            asked_at += gap
+            sent_at += gap
         return self.admitted
 
 
@@ -170,12 +172,12 @@
 
 
 def test_a_flood_over_many_nodes_stays_within_the_limit():
-    """One organisation sends twenty times its limit to three hundred nodes, which hear
-    of each other's spending once a second. Each believes that the whole allowance is
-    left, and others' requests wait behind what they let through together: 6,000 units
-    in four seconds before, 1,960 after, of 3,000."""
-    told_once_a_second = Fleet(300, counting=False).flood(6.0, 20 * RATE)
-    assert most_in_window(told_once_a_second) > MOST
+    """One organisation sends twenty times its limit to three hundred nodes, which
+    broadcast their spending once a second. Each believes that the whole allowance is
+    left, and together they admit 6,000 units of 3,000 in four seconds; 1,960 if each
+    request is reported to the coordinator."""
+    broadcast_only = Fleet(300, updates=False).flood(6.0, 20 * RATE)
+    assert most_in_window(broadcast_only) > MOST
     fleet = Fleet(300)
     admitted = fleet.flood(6.0, 20 * RATE)
     assert most_in_window(admitted) <= 0.7 * MOST
@@ -184,26 +186,27 @@
 
 @pytest.mark.parametrize("size", [6, 100])
 def test_a_flood_from_the_first_moment(size):
-    """All nodes have just started when the flood comes; none has heard another."""
+    """All nodes have just started when the flood begins, and none has received
+    another's broadcast."""
     fleet = Fleet(size)
     assert most_in_window(fleet.flood(10.0, 7 * RATE)) <= 0.7 * MOST
-    assert fleet.notes <= 10.0 * (RATE / UNITS + 8 * size)
+    assert fleet.updates_sent <= 10.0 * (RATE / UNITS + 8 * size)
 
 
-def test_a_flood_while_the_counting_node_hangs():
-    """A hundred nodes, a flood of seven times a limit, and the node that adds up has
-    stopped; datagrams take 0.1 s. 3,500 units in four seconds were let through, of
-    3,000. Each node's even part of what is left is less than a request, so nothing
-    goes unheard."""
-    noted = Fleet(100, lost=lambda: True, delay_s=0.1)
-    assert most_in_window(noted.flood(10.0, 7 * RATE)) > MOST
-    asked = Fleet(100, lost=lambda: True, asking=True, delay_s=0.1)
+def test_a_flood_while_the_coordinator_hangs():
+    """A hundred nodes are flooded with seven times a limit, the coordinator hangs, and
+    datagrams take 0.1 s. Without grants, 3,500 units of 3,000 were admitted in four
+    seconds. With grants, each node's even part of what is left is less than a request,
+    so nothing is spent unreported."""
+    applied = Fleet(100, lost=lambda: True, delay_s=0.1)
+    assert most_in_window(applied.flood(10.0, 7 * RATE)) > MOST
+    asked = Fleet(100, lost=lambda: True, grants=True, delay_s=0.1)
     assert most_in_window(asked.flood(10.0, 7 * RATE)) <= BURST + 0.4 * SLACK
 
 
-def test_a_flood_that_asks_gets_what_the_limit_allows():
+def test_a_flood_with_grants_gets_what_the_limit_allows():
     """Each datagram takes 20 ms, as on a busy machine."""
-    admitted = Fleet(100, asking=True, delay_s=0.02).flood(10.0, 7 * RATE)
+    admitted = Fleet(100, grants=True, delay_s=0.02).flood(10.0, 7 * RATE)
     assert most_in_window(admitted) <= RATE * WINDOW_S + BURST + 0.4 * SLACK
     assert len(admitted) * UNITS >= 0.95 * RATE * 10.0
 
@@ -212,61 +215,62 @@
     fleet = Fleet(100)
     admitted = fleet.flood(10.0, 0.5 * RATE)
     assert len(admitted) * UNITS >= 0.99 * 0.5 * RATE * 10.0
-    assert fleet.notes <= len(admitted) + 100
-    assert fleet.notes >= 0.9 * len(admitted)
+    assert fleet.updates_sent <= len(admitted) + 100
+    assert fleet.updates_sent >= 0.9 * len(admitted)
 
 
-def test_lost_datagrams_are_made_good_by_the_tellings():
-    """The counting node is cut off: all that is noted to it is lost. The limit is then
-    kept as well as tellings once a second keep it, and nothing is counted twice."""
+def test_state_broadcasts_correct_for_lost_updates():
+    """The coordinator is cut off, and all updates to it are lost. The limit must hold
+    as well as broadcasts once a second keep it, and nothing may count twice."""
     fleet = Fleet(6, lost=lambda: True)
     admitted = fleet.flood(20.0, 2 * RATE)
     assert 0.9 * RATE * 20.0 <= len(admitted) * UNITS <= RATE * 20.0 + BURST + SLACK
 
 
-def spender(*, tellings, age_s=1.0):
-    return Spender("p", 1, tellings, age_s)
+def spender(*, sequence, age_s=1.0):
+    return Spender("p", 1, sequence, age_s)
 
 
-def noted(limits, units, **options):
+def applied(limits, units, **options):
     return limits.note(spender(**options), "o", units, 1.0)
 
 
-def test_what_was_noted_is_not_counted_again_with_the_telling():
+def test_an_update_is_not_counted_again_with_the_broadcast():
     limits = SharedLimits(0.0)
-    assert noted(limits, 20.0, tellings=1) == 20.0
-    limits.hear(spender(tellings=2), {"o": 20.0}, 1.1)
+    assert applied(limits, 20.0, sequence=1) == 20.0
+    limits.hear(spender(sequence=2), {"o": 20.0}, 1.1)
     assert limits.allowances["o"].units == -20.0
 
 
-def test_a_telling_that_a_note_overtook_takes_nothing_back():
-    """A node tells all of its spending, admits a request and notes it; the note comes
-    first. Taken as the newest, the telling would give back what the note had taken."""
+def test_a_broadcast_overtaken_by_an_update_refunds_nothing():
+    """A node broadcasts its spending, then admits a request and sends an update, which
+    arrives first. Taken as the newest, the broadcast would refund what the update has
+    charged."""
     limits = SharedLimits(0.0)
-    noted(limits, 20.0, tellings=3)
-    limits.hear(spender(tellings=3), {"o": 0.0}, 1.1)
+    applied(limits, 20.0, sequence=3)
+    limits.hear(spender(sequence=3), {"o": 0.0}, 1.1)
     assert limits.allowances["o"].units == -20.0
-    limits.hear(spender(tellings=4), {"o": 0.0}, 1.2)
+    limits.hear(spender(sequence=4), {"o": 0.0}, 1.2)
     assert limits.allowances["o"].units == 0.0
 
 
-def test_notes_that_overtake_each_other_count_once():
+def test_reordered_updates_count_once():
     limits = SharedLimits(0.0)
-    assert noted(limits, 40.0, tellings=1) == 40.0
-    assert noted(limits, 20.0, tellings=1) == 0.0
-    assert noted(limits, 40.0, tellings=1) == 0.0
+    assert applied(limits, 40.0, sequence=1) == 40.0
+    assert applied(limits, 20.0, sequence=1) == 0.0
+    assert applied(limits, 40.0, sequence=1) == 0.0
 
 
-def test_a_note_of_an_old_node_that_is_not_known_waits_for_its_telling():
-    """A node starts anew and is noted a total that another has spent in an hour. Taken
-    off at once, it would refuse the organisation's callers for an hour."""
+def test_an_update_of_an_unknown_old_node_waits_for_its_broadcast():
+    """A restarted node receives the total that another has spent in an hour. Charged at
+    once, it would have the organisation's callers refused for an hour."""
     limits = SharedLimits(0.0)
-    assert noted(limits, 1e9, tellings=5000, age_s=3600.0) == 0.0
+    assert applied(limits, 1e9, sequence=5000, age_s=3600.0) == 0.0
     assert limits.wait_s("o", 1.0, INITIAL_CREDIT_S, rate=RATE, burst=BURST) == 0.0
 
 
 @pytest.mark.parametrize(("left", "due"), [(60.0, False), (40.0, True)])
-def test_others_are_told_when_little_is_left(left, due):
+def test_all_nodes_are_informed_when_little_is_left(left, due):
     count = SpendingCount()
     count.add("o", "a", 10.0)
     count.add("o", "b", 5.0)
--- a/packages/endive_core/tests/test_expiry.py
+++ b/packages/endive_core/tests/test_expiry.py
@@ -10,7 +10,7 @@
     assert len(dispatch_all(made)) == 1
 
 
-def test_queued_calls_are_given_up_when_no_server_is_left():
+def test_queued_calls_expire_when_no_server_is_left():
     made = scheduler(servers=1, slots=1, max_bulk_wait_s=1e6)
     hold_all_slots(made)
     waiting = made.offer(call(9, bulk=True), 0.0)
@@ -22,7 +22,7 @@
     assert waiting.refusal.kind is ErrorKind.NO_SERVER
 
 
-def test_a_queued_call_is_given_up_once_its_deadline_has_passed():
+def test_a_queued_call_expires_once_its_deadline_has_passed():
     made = scheduler(servers=1, slots=1, max_bulk_wait_s=1e6)
     hold_all_slots(made)
     waiting = made.offer(call(9, bulk=True, deadline=5.0), 0.0)
@@ -34,7 +34,7 @@
     assert waiting.stage is Stage.ENDED
 
 
-def test_a_service_that_is_deleted_gives_up_its_queue_at_once():
+def test_the_queue_of_a_deleted_service_expires_at_once():
     made = scheduler(servers=1, slots=1, max_bulk_wait_s=1e6)
     hold_all_slots(made)
     waiting = made.offer(call(9, bulk=True), 0.0)
@@ -44,8 +44,8 @@
     assert made.refusals[ErrorKind.NO_SERVER] == 1
 
 
-def behind(seconds):
-    """Return a scheduler whose two servers have others' work for `seconds`."""
+def scheduler_with_backlog(seconds):
+    """Return a scheduler whose two servers have work from other nodes for `seconds`."""
     made = scheduler(servers=2, slots=64)
     made.placement.backlogs = Backlogs()
     tokens = 20_000.0 * seconds
@@ -54,10 +54,10 @@
 
 
 def test_a_prompt_that_no_server_can_begin_in_time_is_refused_at_once():
-    """After reclaims the servers that are left have three seconds of prompts before
-    them. A caller with two seconds would wait them out, get nothing, and hold up the
-    next ones with a prompt that nobody waits for."""
-    made = behind(3.0)
+    """After reclaims the remaining servers have three seconds of prompts queued. A
+    caller with a deadline of two seconds would wait in vain, and its prompt would delay
+    the next callers."""
+    made = scheduler_with_backlog(3.0)
     waiting = made.offer(call(deadline=2.0), 0.0)
     assert made.next_dispatch(0.0) is None
     assert made.take_expired() == [waiting]
@@ -66,14 +66,14 @@
 
 
 def test_a_prompt_that_can_be_begun_in_time_is_sent_though_it_waits():
-    made = behind(3.0)
+    made = scheduler_with_backlog(3.0)
     made.offer(call(deadline=3.5), 0.0)
     assert made.next_dispatch(0.0) is not None
 
 
 def test_a_prompt_is_not_refused_while_any_server_can_begin_it_in_time():
-    """All servers but one are three seconds behind, and that one is none of the few
-    that a call is compared at. Its caller would be refused though a server is idle."""
+    """All servers but one have three seconds of work, and that one is not among the few
+    candidates of a call. Its caller would be refused although a server is idle."""
     made = scheduler(servers=40, slots=64)
     made.placement.backlogs = Backlogs()
     tokens = {f"s{number}": 60_000.0 for number in range(40) if number != 17}
@@ -84,10 +84,10 @@
     assert made.take_expired() == []
 
 
-def test_what_was_sent_before_is_not_refused_for_a_late_server():
-    """A server broke off an answer that had begun. Whoever waits for the rest of it
-    gets it late rather than never."""
-    made = behind(0.0)
+def test_a_call_sent_before_is_not_refused_for_a_late_server():
+    """A server breaks off an answer that has begun. The caller that waits for the rest
+    must get it late rather than never."""
+    made = scheduler_with_backlog(0.0)
     waiting = made.offer(call(deadline=2.0), 0.0)
     dispatch_all(made)
     made.moved(waiting, 0.5, tokens=3)
--- a/packages/endive_core/tests/test_queueing.py
+++ b/packages/endive_core/tests/test_queueing.py
@@ -18,15 +18,15 @@
 
 
 def test_batch_does_not_delay_another_organisation():
-    """A broker's 1,000 calls are queued when a club member calls. First come, first
-    served would put the member last."""
+    """One organisation has 1,000 calls queued when another sends a single one. A
+    first-come, first-served queue would serve that one last."""
     queue = FairQueue()
     for number in range(1000):
-        queue.push(ticket(number, "broker"))
+        queue.push(ticket(number, "batch"))
     queue.pop(next(queue.heads(1)))
-    member = ticket(1000, "kerloch")
-    queue.push(member)
-    assert member in drain(queue)[:2]
+    lone_call = ticket(1000, "single")
+    queue.push(lone_call)
+    assert lone_call in drain(queue)[:2]
 
 
 def test_tokens_not_calls_are_shared():
@@ -74,6 +74,6 @@
 def test_tokens_ahead_of_a_newcomer_leave_out_the_batch():
     queue = FairQueue()
     for number in range(1000):
-        queue.push(ticket(number, "broker"))
-    assert queue.tokens_ahead(0, "kerloch") == 0
-    assert queue.tokens_ahead(0, "broker") == 100_000
+        queue.push(ticket(number, "batch"))
+    assert queue.tokens_ahead(0, "single") == 0
+    assert queue.tokens_ahead(0, "batch") == 100_000
--- a/packages/endive_core/tests/test_returning.py
+++ b/packages/endive_core/tests/test_returning.py
@@ -6,45 +6,45 @@
     next_window_time,
 )
 
-KEY = ("broker", 0)
+KEY = ("batch", 0)
 
 
-def times(count, *, cost_s=0.5):
-    line = RetryWindows(min_s=0.2, max_s=900.0)
-    told = [
-        line.assign(KEY, f"f{n}", 0.0, excess_s=0.1, cost_s=cost_s)
+def assign_times(count, *, cost_s=0.5):
+    windows = RetryWindows(min_s=0.2, max_s=900.0)
+    assigned = [
+        windows.assign(KEY, f"f{n}", 0.0, excess_s=0.1, cost_s=cost_s)
         for n in range(count)
     ]
-    return line, told
+    return windows, assigned
 
 
-def test_callers_are_told_times_as_far_apart_as_the_servers_need():
-    """A thousand calls are refused within one second. Told one time, all would come
-    back together and nearly all be refused once more."""
-    _, told = times(1000)
-    in_any_10_s = max(sum(s <= t < s + 10 for t in told) for s in range(0, 500, 5))
+def test_retry_times_are_as_far_apart_as_the_servers_need():
+    """A thousand calls are refused within one second. Given the same time, all would
+    retry together, and nearly all would be refused once more."""
+    _, assigned = assign_times(1000)
+    in_any_10_s = max(sum(s <= t < s + 10 for t in assigned) for s in range(0, 500, 5))
     assert in_any_10_s < 10 / 0.5 * 1.5
 
 
-def test_caller_who_keeps_its_time_may_enter_at_any_node():
-    """A refused caller comes back when it was told to, to a node that has a line of its
-    own and has never heard of it."""
-    _, told = times(200)
-    other, _ = times(2000)
-    for number, at in enumerate(told):
+def test_caller_that_keeps_its_time_is_admitted_at_any_node():
+    """A refused caller retries at the time it was given, at a node that has refused
+    calls of its own and does not know this caller."""
+    _, assigned = assign_times(200)
+    other, _ = assign_times(2000)
+    for number, at in enumerate(assigned):
         assert other.may_enqueue(KEY, f"f{number}", at + 0.1)
 
 
-def test_first_calls_seldom_jump_the_line():
-    line, _ = times(1000)
-    entered = sum(line.may_enqueue(KEY, f"first-{n}", 3.0) for n in range(1000))
+def test_first_calls_are_seldom_admitted_before_refused_ones():
+    windows, _ = assign_times(1000)
+    entered = sum(windows.may_enqueue(KEY, f"first-{n}", 3.0) for n in range(1000))
     assert entered < 1000 * 2.5 / PERIOD_WINDOWS
-    assert line.may_enqueue(("kerloch", 0), "first", 3.0)
+    assert windows.may_enqueue(("other", 0), "first", 3.0)
 
 
-def test_turn_comes_once_in_a_period():
+def test_a_call_has_one_window_in_a_period():
     for number in range(100):
         start = number * 0.7
-        turn = next_window_time(f"f{number}", start)
-        assert start <= turn < start + WINDOW_S * PERIOD_WINDOWS
-        assert in_window(f"f{number}", turn)
+        at = next_window_time(f"f{number}", start)
+        assert start <= at < start + WINDOW_S * PERIOD_WINDOWS
+        assert in_window(f"f{number}", at)
--- a/packages/endive_core/tests/test_scheduler.py
+++ b/packages/endive_core/tests/test_scheduler.py
@@ -18,10 +18,10 @@
     assert made.servers.own_total == 0
 
 
-def test_overload_is_refused_at_once_with_growing_times_to_come_back():
-    """A broker sends 200 calls at once to a node whose servers run 8 at a time. Those
-    beyond what the target allows are refused now, and are told times that move back
-    with each of them, every one in its caller's own turn."""
+def test_overload_is_refused_at_once_with_increasing_retry_times():
+    """200 calls arrive at once at a node whose servers run 8 at a time. Those beyond
+    what the latency target allows are refused at once with increasing retry times, each
+    in its call's own window."""
     made = scheduler()
     calls = [call(number, fingerprint=f"f{number}") for number in range(200)]
     answers = [(c, made.offer(c, 0.0)) for c in calls]
@@ -35,7 +35,7 @@
     assert made.refusals[ErrorKind.OVERLOADED] == len(times)
 
 
-def test_no_server_is_said_when_all_zones_are_under_notice():
+def test_no_server_is_reported_when_all_zones_are_under_notice():
     made = scheduler()
     made.leaving_zone("z0")
     made.leaving_zone("z1")
@@ -53,8 +53,9 @@
 
 
 def test_non_idempotent_call_is_not_sent_again_after_it_may_have_run():
-    """The server of a court confirmation dies without an answer. A second confirmation
-    would book twice, so the caller is told that the outcome is unknown."""
+    """The server of a non-idempotent call dies without an answer. Running the call
+    twice would do harm, such as a double booking, so the caller is told that the
+    outcome is unknown."""
     made = scheduler()
     ticket = made.offer(call(non_idempotent=True), 0.0)
     made.next_dispatch(0.0)
--- a/packages/endive_core/tests/test_sharing.py
+++ b/packages/endive_core/tests/test_sharing.py
@@ -7,193 +7,194 @@
 )
 
 RATE, BURST = 1000.0, 1000.0
-TELL_S = 0.2
+BROADCAST_INTERVAL_S = 0.2
 
 
 class Fleet:
-    """Nodes that keep one limit and tell each other, some of them cut off."""
+    """Simulated nodes that share one limit; those on one side exchange broadcasts."""
 
     def __init__(self, count):
         self.nodes = [SharedLimits(0.0) for _ in range(count)]
         self.sides = [set(range(count))]
-        self.tellings = 0
+        self.sequence = 0
         for index, node in enumerate(self.nodes):
             for other in range(count):
                 if other != index:
                     node.expect(str(other), 0.0)
 
-    def tell(self, now):
-        self.tellings += 1
+    def broadcast(self, now):
+        self.sequence += 1
         for side in self.sides:
             for sender in side:
                 for receiver in side - {sender}:
                     self.nodes[receiver].hear(
-                        Spender(str(sender), 1, self.tellings, age_s=now),
+                        Spender(str(sender), 1, self.sequence, age_s=now),
                         dict(self.nodes[sender].tell()),
                         now,
                     )
 
-    def play(self, start, end, asked_per_s, size):
-        """Ask all nodes evenly; return the units admitted."""
-        admitted, step = 0.0, size / asked_per_s
-        now, told, turn = start, start, 0
+    def flood(self, start, end, units_per_s, size):
+        """Send requests to all nodes in index; return the units admitted."""
+        admitted, step = 0.0, size / units_per_s
+        now, broadcast_at, index = start, start, 0
         while now < end:
-            if now - told >= TELL_S:
-                self.tell(now)
-                told = now
-            node = self.nodes[turn % len(self.nodes)]
+            if now - broadcast_at >= BROADCAST_INTERVAL_S:
+                self.broadcast(now)
+                broadcast_at = now
+            node = self.nodes[index % len(self.nodes)]
             if not node.wait_s("o", size, now, rate=RATE, burst=BURST):
                 admitted += size
-            turn += 1
+            index += 1
             now += step
         return admitted
 
 
 def test_a_flood_to_all_nodes_gets_one_limit():
-    """One organisation sends eight times its limit, spread over eight nodes. Had each
-    node its own limit, all of it would pass, and other organisations would wait."""
+    """One organisation sends eight times its limit, spread over eight nodes. If each
+    node enforced the limit alone, all of it would be admitted, and other organisations
+    would wait."""
     fleet = Fleet(8)
-    fleet.tell(0.0)
-    admitted = fleet.play(0.0, 8.0, 8 * RATE, 20.0)
+    fleet.broadcast(0.0)
+    admitted = fleet.flood(0.0, 8.0, 8 * RATE, 20.0)
     assert admitted <= (8 * RATE + BURST) * 1.1
     assert admitted >= 8 * RATE * 0.95
 
 
 def test_few_large_requests_below_the_limit_all_pass():
-    """An organisation sends half of its limit, in requests that are each larger than a
-    node's even part of the burst. Refusing any of them would be worth lost."""
+    """An organisation sends half of its limit in requests that are each larger than a
+    node's even part of the burst. None of them may be refused."""
     fleet = Fleet(8)
-    fleet.tell(0.0)
-    admitted = fleet.play(2.0, 10.0, 0.5 * RATE, 300.0)
+    fleet.broadcast(0.0)
+    admitted = fleet.flood(2.0, 10.0, 0.5 * RATE, 300.0)
     assert admitted >= 0.5 * RATE * 8.0
 
 
-def test_a_cut_fleet_stays_within_the_limit():
+def test_a_partitioned_fleet_stays_within_the_limit():
     """Two of eight nodes are cut off from the others and go on serving. Neither side
-    hears what the other spends; together they must stay within the limit."""
+    receives the other's spending; together they must stay within the limit."""
     fleet = Fleet(8)
-    fleet.tell(0.0)
-    fleet.play(0.0, 4.0, 8 * RATE, 20.0)
+    fleet.broadcast(0.0)
+    fleet.flood(0.0, 4.0, 8 * RATE, 20.0)
     fleet.sides = [set(range(6)), {6, 7}]
-    fleet.play(4.0, 4.0 + SILENT_S, 8 * RATE, 20.0)
-    admitted = fleet.play(4.0 + SILENT_S, 12.0 + SILENT_S, 8 * RATE, 20.0)
+    fleet.flood(4.0, 4.0 + SILENT_S, 8 * RATE, 20.0)
+    admitted = fleet.flood(4.0 + SILENT_S, 12.0 + SILENT_S, 8 * RATE, 20.0)
     assert admitted <= (8 * RATE + BURST) * 1.1
 
 
-def test_a_node_that_is_gone_for_good_gives_its_part_back():
-    made = SharedLimits(0.0)
-    made.expect("other", 0.0)
-    assert made.part(0.1 + SILENT_S) == 0.5
-    made.forget_silent(PEER_EXPIRY_S + SILENT_S + 1.0)
-    assert made.part(PEER_EXPIRY_S + 2.0) == 1.0
+def test_the_part_of_a_node_that_is_gone_is_divided():
+    limits = SharedLimits(0.0)
+    limits.expect("other", 0.0)
+    assert limits.part(0.1 + SILENT_S) == 0.5
+    limits.forget_silent(PEER_EXPIRY_S + SILENT_S + 1.0)
+    assert limits.part(PEER_EXPIRY_S + 2.0) == 1.0
 
 
-def test_a_node_that_said_it_stopped_gives_its_part_back_at_once():
-    made = SharedLimits(0.0)
-    made.hear(Spender("other", 1, 1, 1.0), {}, 1.0)
-    made.leave("other")
-    assert made.part(5.0) == 1.0
+def test_the_part_of_a_node_that_announced_its_stop_is_divided_at_once():
+    limits = SharedLimits(0.0)
+    limits.hear(Spender("other", 1, 1, 1.0), {}, 1.0)
+    limits.leave("other")
+    assert limits.part(5.0) == 1.0
 
 
-def test_what_an_old_peer_spent_before_is_not_taken_again():
-    """A node starts anew and hears what the others have spent in an hour. Taken off at
-    once, it would refuse the organisation's callers for an hour."""
-    made = SharedLimits(0.0)
-    made.hear(Spender("old", 1, 18_000, 3600.0), {"o": 1e9}, 1.0)
-    assert made.wait_s("o", 1.0, 1.0, rate=RATE, burst=BURST) == 0.0
+def test_earlier_spending_of_an_old_peer_is_not_charged():
+    """A restarted node receives what the others have spent in an hour. Charged at once,
+    it would have the organisation's callers refused for an hour."""
+    limits = SharedLimits(0.0)
+    limits.hear(Spender("old", 1, 18_000, 3600.0), {"o": 1e9}, 1.0)
+    assert limits.wait_s("o", 1.0, 1.0, rate=RATE, burst=BURST) == 0.0
 
 
-def test_all_that_a_peer_spent_counts_if_it_started_together_with_this_node():
-    """A hundred nodes start together, and each hears some of the others only two
-    seconds later, when they have told a part of their rounds thirty times. Were what
-    these had spent not counted, it would be let through twice."""
-    made = SharedLimits(0.0)
-    made.hear(Spender("p", 1, 30, 2.5), {"o": 600.0}, 2.2)
-    assert made.allowances["o"].units == -600.0
+def test_all_spending_of_a_peer_counts_if_it_started_with_this_node():
+    """A hundred nodes start together, and each receives the first broadcast of some
+    others only two seconds later, when these have sent thirty. If their spending until
+    then did not count, it would be admitted twice."""
+    limits = SharedLimits(0.0)
+    limits.hear(Spender("p", 1, 30, 2.5), {"o": 600.0}, 2.2)
+    assert limits.allowances["o"].units == -600.0
 
 
 def test_a_restarted_peer_counts_from_zero():
-    made = SharedLimits(0.0)
-    made.hear(Spender("p", 1, 100, 20.0), {"o": 5000.0}, 1.0)
-    made.hear(Spender("p", 2, 1, 0.1), {"o": 10.0}, 1.5)
-    made.hear(Spender("p", 2, 2, 0.3), {"o": 10.0}, 1.7)
-    assert made.allowances["o"].units == -10.0
+    limits = SharedLimits(0.0)
+    limits.hear(Spender("p", 1, 100, 20.0), {"o": 5000.0}, 1.0)
+    limits.hear(Spender("p", 2, 1, 0.1), {"o": 10.0}, 1.5)
+    limits.hear(Spender("p", 2, 2, 0.3), {"o": 10.0}, 1.7)
+    assert limits.allowances["o"].units == -10.0
 
 
-def test_a_refused_caller_is_told_when_the_debt_is_paid():
-    made = SharedLimits(0.0)
+def test_the_retry_time_is_when_the_debt_is_paid():
+    limits = SharedLimits(0.0)
     start = INITIAL_CREDIT_S
-    assert made.wait_s("o", 3000.0, start, rate=RATE, burst=BURST) == 0.0
-    wait = made.wait_s("o", 20.0, start, rate=RATE, burst=BURST)
+    assert limits.wait_s("o", 3000.0, start, rate=RATE, burst=BURST) == 0.0
+    wait = limits.wait_s("o", 20.0, start, rate=RATE, burst=BURST)
     assert 1.9 < wait < 2.6
-    assert made.wait_s("o", 20.0, start + wait + 0.01, rate=RATE, burst=BURST) == 0.0
+    assert limits.wait_s("o", 20.0, start + wait + 0.01, rate=RATE, burst=BURST) == 0.0
 
 
-def test_what_was_not_run_is_given_back():
-    made = SharedLimits(0.0)
-    made.wait_s("o", 500.0, 1.0, rate=RATE, burst=BURST)
-    before = made.allowances["o"].units
-    made.give_back("o", 500.0)
-    assert made.allowances["o"].units == before + 500.0
-    assert made.tell()["o"] == 0.0
+def test_units_of_a_request_that_did_not_run_are_refunded():
+    limits = SharedLimits(0.0)
+    limits.wait_s("o", 500.0, 1.0, rate=RATE, burst=BURST)
+    before = limits.allowances["o"].units
+    limits.give_back("o", 500.0)
+    assert limits.allowances["o"].units == before + 500.0
+    assert limits.tell()["o"] == 0.0
 
 
 def test_callers_who_return_after_a_power_loss_are_not_refused_below_the_limit():
     """All nodes lose power and start again within a second. An organisation that sends
-    half of its limit comes back to them at once; none has heard the others yet."""
+    half of its limit returns at once, when no node has received another's broadcast."""
     fleet = Fleet(8)
-    admitted = fleet.play(0.0, 1.0, 0.5 * RATE, 50.0)
+    admitted = fleet.flood(0.0, 1.0, 0.5 * RATE, 50.0)
     assert admitted >= 0.45 * RATE
 
 
-def play_prompts_and_bookings(fleet, seconds):
-    """Flood with prompts of a tenth of the burst, and ask for ten bookings a second.
+def flood_with_prompts_and_small_requests(fleet, seconds):
+    """Flood with prompts of a tenth of the burst, and send ten small requests a second.
 
-    Returns the units admitted and the part of the bookings that passed.
+    Returns the units admitted and the share of the small requests admitted.
     """
-    admitted, passed, asked = 0.0, 0, 0
+    admitted, passed, sent = 0.0, 0, 0
     for step in range(int(seconds * 40)):
         now = step / 40
         if step % 8 == 0:
-            fleet.tell(now)
+            fleet.broadcast(now)
         node = fleet.nodes[step % len(fleet.nodes)]
         if not node.wait_s("o", 0.1 * BURST, now, rate=RATE, burst=BURST):
             admitted += 0.1 * BURST
         if step % 4 == 0:
-            asked += 1
+            sent += 1
             node = fleet.nodes[step // 4 % len(fleet.nodes)]
-            booked = not node.wait_s("o", 5.0, now, rate=RATE, burst=BURST)
-            passed += booked
-            admitted += 5.0 * booked
-    return admitted, passed / asked
+            admits_small = not node.wait_s("o", 5.0, now, rate=RATE, burst=BURST)
+            passed += admits_small
+            admitted += 5.0 * admits_small
+    return admitted, passed / sent
 
 
-def test_bookings_pass_behind_the_prompts_of_a_flood():
-    """One organisation sends four times its limit in long prompts. Each that passes
-    takes the limit far below zero, and until that is paid back its bookings would be
-    refused, though they are 5 in 100 of the limit."""
+def test_small_requests_are_admitted_during_a_flood_of_prompts():
+    """One organisation sends four times its limit in long prompts. Each admitted prompt
+    takes the limit far below zero, and until the debt is paid back its small requests
+    would be refused, although they are 5% of the limit."""
     fleet = Fleet(8)
-    fleet.tell(0.0)
-    admitted, passed = play_prompts_and_bookings(fleet, 8.0)
+    fleet.broadcast(0.0)
+    admitted, passed = flood_with_prompts_and_small_requests(fleet, 8.0)
     assert passed >= 0.8
     assert admitted <= (8 * RATE + BURST) * 1.1
 
 
 def test_a_flood_of_small_requests_gets_one_limit():
-    """What is kept for small requests is charged to the limit. Were it on top, an
-    organisation that sends only small ones would have more than its limit."""
+    """The reserve for small requests is charged to the limit. If it came on top, an
+    organisation that sends only small requests would exceed its limit."""
     fleet = Fleet(8)
-    fleet.tell(0.0)
-    admitted = fleet.play(0.0, 16.0, 8 * RATE, 5.0)
+    fleet.broadcast(0.0)
+    admitted = fleet.flood(0.0, 16.0, 8 * RATE, 5.0)
     assert admitted <= (16 * RATE + BURST) * 1.05
     assert admitted >= 16 * RATE * 0.95
 
 
-def test_the_part_kept_for_small_requests_is_divided_among_the_nodes():
-    """A hundred nodes are flooded before they have heard of each other's spending. Each
-    with a whole part kept for small requests would let through five times the limit."""
+def test_the_reserve_for_small_requests_is_divided_among_the_nodes():
+    """A hundred nodes are flooded before they have received each other's spending. If
+    each had the whole reserve, they would admit five times the limit."""
     fleet = Fleet(100)
     for node in fleet.nodes:
         node.spend("o", 2 * BURST)
-    admitted = fleet.play(0.0, 1.0, 100 * RATE, 1.0)
+    admitted = fleet.flood(0.0, 1.0, 100 * RATE, 1.0)
     assert admitted <= 100 + 0.1 * RATE
--- a/packages/endive_core/tests/test_under_load.py
+++ b/packages/endive_core/tests/test_under_load.py
@@ -1,7 +1,6 @@
-"""The real decision objects of seven nodes before the load model; outcomes for callers.
+"""The real schedulers of seven nodes against the simulated load model.
 
-Short runs of the benchmark's loads; the benchmark's own figures stand in
-docs/DECISIONS.md.
+Short runs of the benchmark's scenarios; docs/DECISIONS.md has the benchmark's figures.
 """
 
 from dataclasses import replace
@@ -22,8 +21,8 @@
 
 
 def test_standing_bulk_batch_leaves_interactive_calls_within_target():
-    """A bulk batch of 20 times the slots stands the whole time. Members who chat must
-    not notice, and the batch must still use what they leave."""
+    """A bulk batch of 20 times the slots is queued all the time. Interactive calls must
+    stay within their target, and the batch must still use what they leave."""
     result = outcome("saturation, bulk", end=40.0)
     assert result.within >= 0.95
     assert result.within_worst >= 0.9
@@ -31,8 +30,8 @@
 
 
 def test_unannounced_burst_leaves_other_organisations_within_target():
-    """A broker sends 4,000 calls within a moment. Those that can't be served in time
-    are refused at once; the calls of the others are answered as before."""
+    """One organisation sends 4,000 calls at once. Those that can't be served in time
+    are refused at once, and the calls of the others are answered as before."""
     result = outcome("burst", start=15.0, end=25.0)
     others = [v for (name, _), v in result.by_class.items() if name != "broker"]
     assert min(others) >= 0.9
@@ -58,8 +57,8 @@
 
 
 def test_loss_of_a_zone_with_a_second_under_notice_loses_no_admitted_call():
-    """A zone dies without notice while a second has five seconds left. Its streams go
-    on in the third zone, and nothing that was admitted is given up."""
+    """One zone fails without notice while a second has five seconds left. Its streams
+    continue in the third zone, and no admitted call is lost."""
     result = outcome("zone gone", start=20.0, end=40.0)
     assert result.within >= 0.95
     assert result.wasted == 0
--- a/packages/endive_core/tests/test_yielding.py
+++ b/packages/endive_core/tests/test_yielding.py
@@ -1,4 +1,4 @@
-"""Prompts that come late anyway go behind those that can still be in time."""
+"""Prompts that miss their target anyway yield to those that can still meet it."""
 
 from collections import deque
 
@@ -10,8 +10,8 @@
 TARGET_S = 0.4
 
 
-def lone_server(**limits):
-    """Return the scheduler of one server that reads 20,000 tokens a second."""
+def single_server(**limits):
+    """Return a scheduler with one server that computes 20,000 tokens a second."""
     made = scheduler(servers=1, slots=256, admission_margin=1.0, **limits)
     made.placement.backlogs = Backlogs()
     return made
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def made():
-    return lone_server()
+    return single_server()
 
 
 def send(made, tokens, number=0, now=0.0, **more):
@@ -27,22 +27,22 @@
     return dispatch_all(made, now)[0].ticket
 
 
-def test_an_idle_server_puts_no_prompt_back(made):
-    """A prompt whose own computation takes two seconds misses its target whatever is
-    done. Behind all others its caller would wait for the longest, each time."""
+def test_no_prompt_yields_at_an_idle_server(made):
+    """A prompt whose own computation takes two seconds misses its target in any case.
+    If it yielded, its caller would wait longest of all, on every call."""
     assert not send(made, 40_000).yields
 
 
 def test_a_prompt_behind_a_long_one_yields(made):
-    """A long prompt holds the only server for a second. What comes now is late, and
-    whoever waits with it should not be made late too."""
+    """A long prompt occupies the only server for a second. What arrives now is late,
+    and should not make further prompts late."""
     send(made, 20_000)
     assert send(made, 1_000, number=1).yields
 
 
-def test_what_yields_holds_nobody_up(made):
-    """After a reclaim one server has work for seconds. Once the late ones stand back, a
-    caller who comes when the others are read is in time."""
+def test_a_yielding_prompt_delays_no_other(made):
+    """After a reclaim one server has work for seconds. If the late prompts yield, a new
+    one is in time as soon as the others are computed."""
     first = send(made, 14_000)
     late = [send(made, 10_000, number=n) for n in range(1, 6)]
     assert all(ticket.yields for ticket in late)
@@ -50,39 +50,39 @@
     assert not send(made, 2_000, number=9, now=0.7).yields
 
 
-def play_overload(made):
+def simulate_overload(made):
     """Send twice what the server can do for four seconds; return callers in time.
 
-    The server reads the prompts that don't give way in turn, 0.1 s each.
+    The server computes the prompts that don't yield in order, 0.1 s each.
     """
-    reading, in_time = deque(), 0
+    computing, in_time = deque(), 0
     free_at = 0.0
     for number in range(80):
         now = number * 0.05
         ticket = send(made, 2_000, number=number, now=now)
         if not ticket.yields:
-            reading.append((now, ticket))
-        while reading and max(free_at, reading[0][0]) + 0.1 <= now + 0.05:
-            came, begun = reading.popleft()
-            free_at = max(free_at, came) + 0.1
-            made.started(begun, free_at)
-            in_time += free_at - came <= TARGET_S
+            computing.append((now, ticket))
+        while computing and max(free_at, computing[0][0]) + 0.1 <= now + 0.05:
+            arrived_at, started = computing.popleft()
+            free_at = max(free_at, arrived_at) + 0.1
+            made.started(started, free_at)
+            in_time += free_at - arrived_at <= TARGET_S
     return in_time
 
 
 def test_in_overload_half_of_the_callers_are_in_time():
-    """Twice the work that one server can do comes for four seconds. Taken in turn, all
-    but the first callers are late: seven of 80 are in time. Where those that will be
-    late stand back, 39 are."""
-    in_turn, with_way = (
-        play_overload(lone_server(yield_wait_part=limit)) for limit in (1e9, 0.25)
+    """For four seconds one server gets twice the work it can do. In order of arrival
+    all but the first callers are late: seven of 80 are in time. If those that will be
+    late yield, 39 are."""
+    in_order, with_yielding = (
+        simulate_overload(single_server(yield_wait_part=limit)) for limit in (1e9, 0.25)
     )
-    assert in_turn <= 8
-    assert with_way >= 34
+    assert in_order <= 8
+    assert with_yielding >= 34
 
 
-def test_a_further_attempt_does_not_give_way(made):
-    """Its caller has lost one server already and is late by that alone."""
+def test_a_retried_prompt_does_not_yield(made):
+    """Its caller has lost one server already, and is late by that alone."""
     first = send(made, 20_000)
     again = send(made, 1_000, number=1)
     assert again.yields
@@ -98,7 +98,7 @@
     assert (server.starting_tokens, server.yielding_tokens) == (0.0, 0.0)
 
 
-def test_what_is_counted_is_taken_off_again(made):
+def test_started_prompts_leave_no_tokens_counted(made):
     tickets = [send(made, 9_000, number=n) for n in range(4)]
     server = made.servers.servers["s0"]
     assert server.yielding_tokens == sum(t.uncached_tokens for t in tickets if t.yields)
@@ -107,9 +107,9 @@
     assert (server.starting_tokens, server.yielding_tokens) == (0.0, 0.0)
 
 
-def test_a_wait_behind_others_says_nothing_of_the_server(made):
-    """Long prompts give way and wait for seconds. Taken for the engine's own time, they
-    would make it look slow, and servers would be ordered that nobody needs."""
+def test_the_wait_of_a_yielding_prompt_does_not_count_as_server_latency(made):
+    """Long prompts yield and wait for seconds. Counted as the engine's own latency,
+    this would make the server look slow, and servers would be ordered without need."""
     send(made, 20_000)
     late = send(made, 8_000, number=1)
     before = made.admission.rate.start_s
@@ -119,9 +119,9 @@
     assert made.servers.servers["s0"].samples == 0
 
 
-def test_what_would_come_after_its_deadline_behind_the_others_is_refused(made):
-    """Late prompts stand back, but are work all the same. Sent behind ten seconds of
-    them, a caller would hang up before the first token."""
+def test_a_prompt_that_would_miss_its_deadline_behind_the_others_is_refused(made):
+    """Yielding prompts are still work. Sent behind ten seconds of them, a caller would
+    disconnect before the first token."""
     send(made, 20_000)
     for number in range(1, 11):
         send(made, 20_000, number=number)
@@ -134,16 +134,16 @@
     assert refused.refusal.retry_after_s > 0
 
 
-def test_nodes_that_tell_nothing_put_nothing_back():
+def test_no_prompt_yields_if_backlogs_are_not_shared():
     one = scheduler(servers=1, slots=64)
     send(one, 20_000)
     assert not send(one, 1_000, number=1).yields
 
 
-def test_many_nodes_take_their_part_of_what_yields_elsewhere():
-    """Eighty nodes share forty servers. Taken for eighty times as much, the one late
-    prompt that a node has at a server would have it refuse whoever comes next, though
-    the server is free within a second."""
+def test_yielding_tokens_are_scaled_to_a_nodes_part():
+    """Eighty nodes share forty servers. If a node multiplied its one yielding prompt at
+    a server by eighty, it would refuse the next callers, although the server is free
+    within a second."""
     many = scheduler(servers=40, slots=64)
     many.placement.backlogs = Backlogs()
     many.set_nodes(80)
@@ -155,9 +155,9 @@
     assert 10_000 < many.servers.yielding_at(server) < 40_000
 
 
-def test_what_yielded_at_a_server_that_left_counts_no_more(made):
-    """The server that all late prompts stood at is reclaimed. If they still counted,
-    callers would be refused for work that is gone."""
+def test_yielding_prompts_of_a_removed_server_do_not_count(made):
+    """The server at which all yielding prompts wait is reclaimed. If they still
+    counted, callers would be refused for work that is gone."""
     send(made, 20_000)
     late = send(made, 10_000, number=1)
     made.set_servers([])
