--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -156,8 +156,8 @@
             peer = self._reset_peer(origin, before, now)
         peer.last_seen_at = now
         for organisation, units in spent.items():
-            sequence, update = peer.noted.get(organisation, (0, 0.0))
-            if origin.sequence <= sequence:
+            update_sequence, update = peer.noted.get(organisation, (0, 0.0))
+            if origin.sequence <= update_sequence:
                 units = max(units, update)
             self._charge(peer, organisation, units)
 
--- a/packages/endive_core/tests/core_builders.py
+++ b/packages/endive_core/tests/core_builders.py
@@ -18,7 +18,7 @@
     )
 
 
-def call(number=0, *, organisation="yunhai", prompt_tokens=100, max_tokens=50, **more):
+def call(number=0, *, organisation="org", prompt_tokens=100, max_tokens=50, **more):
     return Call(
         request_id=f"r{number}",
         organisation=organisation,
--- a/packages/endive_core/tests/test_backlogs.py
+++ b/packages/endive_core/tests/test_backlogs.py
@@ -71,7 +71,7 @@
     The servers compute one prompt after the other. Prompt lengths have a heavy tail: a
     mean of 4,000 tokens, and one in thirty of 40,000.
     """
-    random = Random(11)
+    rng = Random(11)
     nodes = [Scheduler.from_policy(Policy(), Random(n)) for n in range(NODES)]
     backlogs = [Backlogs() for _ in nodes]
     for node, backlog in zip(nodes, backlogs, strict=True):
@@ -89,11 +89,11 @@
         now, _, act, payload = heapq.heappop(events)
         order += 1
         if act == "request" and now < seconds:
-            gap_s = random.expovariate(REQUESTS_PER_S)
+            gap_s = rng.expovariate(REQUESTS_PER_S)
             heapq.heappush(events, (now + gap_s, order, "request", 0))
-            node = nodes[random.randrange(NODES)]
-            tokens = random.randrange(5_600)
-            if random.random() < 1 / 30:
+            node = nodes[rng.randrange(NODES)]
+            tokens = rng.randrange(5_600)
+            if rng.random() < 1 / 30:
                 tokens = LONG_TOKENS
             node.offer(prompt_call(asked, tokens), now)
             asked += 1
--- a/packages/endive_core/tests/test_queueing.py
+++ b/packages/endive_core/tests/test_queueing.py
@@ -3,7 +3,7 @@
 from endive_core.queueing import FairQueue
 
 
-def ticket(number, organisation="yunhai", *, tokens=100, **more):
+def ticket(number, organisation="org", *, tokens=100, **more):
     return Ticket(
         call(number, organisation=organisation, **more), 0.0, cost=float(tokens)
     )
@@ -66,7 +66,7 @@
     queue.push(kept)
     queue.cancel(gone)
     gone.stage = Stage.ENDED
-    assert queue.tokens_ahead(0, "yunhai") == 100
+    assert queue.tokens_ahead(0, "org") == 100
     assert drain(queue) == [kept]
     assert len(queue) == 0
 
--- a/packages/endive_core/tests/test_yielding.py
+++ b/packages/endive_core/tests/test_yielding.py
@@ -63,9 +63,9 @@
         if not ticket.yields:
             computing.append((now, ticket))
         while computing and max(free_at, computing[0][0]) + 0.1 <= now + 0.05:
-            arrived_at, started = computing.popleft()
+            arrived_at, running = computing.popleft()
             free_at = max(free_at, arrived_at) + 0.1
-            made.started(started, free_at)
+            made.started(running, free_at)
             in_time += free_at - arrived_at <= TARGET_S
     return in_time
 
