--- a/packages/endive_core/src/endive_core/backlogs.py
+++ b/packages/endive_core/src/endive_core/backlogs.py
@@ -7,10 +7,10 @@
 seconds.
 
 The nodes therefore send each other their pending prompt tokens by server, and each
-deducts what the server has presumably computed since. In simulated
-days with 520 long and 1,800 short prompts, 33 long ones were late instead of 38, and 10
-short ones instead of 16 (means of 25 days, each run both ways). With backlogs sent four
-times as often, 32 and 8 were late.
+deducts what the server has presumably computed since. In simulated days with 520 long
+and 1,800 short prompts, 33 long ones were late instead of 38, and 10 short ones instead
+of 16 (means of 25 days, each run both ways). With backlogs sent four times as often, 32
+and 8 were late.
 """
 
 from collections.abc import Mapping
--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/sharing.py
@@ -43,8 +43,8 @@
 within two more."""
 
 SMALL_REQUEST_SHARE = 0.01
-"""Share of a limit's burst up to which a request counts as small. Short calls without a
-prompt have 200 units, prompts up to 23,000."""
+"""Share of a limit's burst up to which a request counts as small. A call to a plain
+service, such as a booking, has 200 units; a prompt has up to 23,000."""
 
 RESERVED_RATE_SHARE = 0.05
 """Share of each limit's rate that small requests may take although nothing is left,
@@ -265,11 +265,11 @@
         """Take a small request's units from the reserve; return whether they fit.
 
         If an organisation sends several times its limit in long prompts, a prompt of
-        23,000 units takes the limit so far below zero that nothing is admitted for
-        0.2 s, again and again. 135 of 195 requests of 200 units were refused in nine
-        seconds, although all of them together are 2% of the limit. With a reserved
-        share, 0 and 6 small requests a day were refused instead of 40 and 65 (two
-        simulated days, one run each).
+        23,000 units takes the limit so far below zero that nothing is admitted for 0.2
+        s, again and again. 135 of 195 requests of 200 units were refused in nine
+        seconds, although all such requests together are 2% of the limit. With a
+        reserved share, 0 and 6 small requests a day were refused instead of 40 and 65
+        (two simulated days, one run each).
         """
         if units > SMALL_REQUEST_SHARE * burst:
             return False
