--- a/packages/endive_core/src/endive_core/__init__.py
+++ b/packages/endive_core/src/endive_core/__init__.py
@@ -5,13 +5,13 @@
 - one request: ``calls``, ``lifecycle``, ``bodies``, ``messages``, ``exceptions``,
   ``service_types``
 - scheduling, behind the facade ``scheduler``: ``policy``, ``admission``,
-  ``queueing``, ``usage``, ``expiry``, ``returning``, ``rates``
+  ``queueing``, ``slot_usage``, ``expiry``, ``retry_after``, ``estimators``
 - placement: ``placement``, ``prefixes``, ``ring``, ``hashing``, ``servers``,
   ``backlogs``, ``prefilling``, ``first_tokens``
-- failures: ``failures``, ``retrying``, ``crashes``, ``outliers``, ``suspicions``
-- limits and metering: ``quotas``, ``sharing``, ``counting``, ``metering``
+- failures: ``failures``, ``retrying``, ``crashes``, ``outliers``, ``ejection``
+- limits and metering: ``quotas``, ``shared_limits``, ``limit_coordination``, ``metering``
 - capacity: ``capacity``, ``load_sizing``
-- moving streams and requests: ``shifting``, ``handover``, ``claims``
+- moving streams and requests: ``stream_moves``, ``handover``, ``claims``
 - membership: ``membership``, ``members``, ``digests``, ``facts``, ``leases``,
   ``clocks``
 - configuration: ``resources``, ``catalogue``, ``routing``, ``records``, ``fold``,
--- a/packages/endive_core/src/endive_core/backlogs.py
+++ b/packages/endive_core/src/endive_core/backlogs.py
@@ -34,7 +34,7 @@
         self.by_server: dict[str, dict[str, tuple[float, float]]] = {}
         self.by_node: dict[str, set[str]] = {}
 
-    def hear(self, node: str, tokens: Mapping[str, float], now: float) -> None:
+    def receive(self, node: str, tokens: Mapping[str, float], now: float) -> None:
         """Replace another node's backlogs by server with those it has just sent."""
         for server in self.by_node.get(node, set()) - tokens.keys():
             by_node_tokens = self.by_server[server]
@@ -74,7 +74,7 @@
         return max(0.0, total - age_s * tokens_per_s)
 
 
-def told_tokens(tokens: Mapping[str, float]) -> dict[str, float]:
+def largest_backlogs(tokens: Mapping[str, float]) -> dict[str, float]:
     """Return those of this node's own backlogs by server that are worth sending."""
     large = {name: count for name, count in tokens.items() if count >= MIN_TOKENS_SENT}
     if len(large) <= MAX_SERVERS_SENT:
--- a/packages/endive_core/src/endive_core/digests.py
+++ b/packages/endive_core/src/endive_core/digests.py
@@ -14,8 +14,8 @@
     BEAT_BYTES,
     DATAGRAM_BYTES,
     DIGEST_HEAD_BYTES,
-    Beat,
     Digest,
+    Heartbeat,
     Member,
     fact_size,
     member_key,
@@ -161,7 +161,7 @@
             known.told = self.turn
             known.times_told += 1
             member = known.member
-            beat = Beat(
+            beat = Heartbeat(
                 member_key(member),
                 member.heartbeat,
                 member.state,
--- a/packages/endive_core/src/endive_core/expiry.py
+++ b/packages/endive_core/src/endive_core/expiry.py
@@ -49,10 +49,10 @@
         message: str,
         retry_after_s: float | None = None,
     ) -> None:
-        """Expire one queued call; for the arguments see :meth:`Refusal.because`."""
+        """Expire one queued call; for the arguments see :meth:`Refusal.from_kind`."""
         self.queue.cancel(ticket)
         self.admission.end(ticket)
-        ticket.refusal = Refusal.because(kind, message, retry_after_s)
+        ticket.refusal = Refusal.from_kind(kind, message, retry_after_s)
         self.refusals[kind] += 1
         self.expired.append(ticket)
 
@@ -92,7 +92,7 @@
         Servers may be replaced within seconds of a reclaim. After that it is better to
         tell a caller that its request did not run than to let it wait.
         """
-        if self.servers.taking:
+        if self.servers.accepting:
             self.no_server_since = None
             return
         if self.no_server_since is None:
--- a/packages/endive_core/src/endive_core/handover.py
+++ b/packages/endive_core/src/endive_core/handover.py
@@ -15,7 +15,7 @@
 from endive_core.messages import Endpoint, Request
 
 ROUTE_CHARACTERS = 16
-CANDIDATES = 3
+LOOKUP_CANDIDATES = 3
 """Members asked first: the best one, and two more because views differ by a node or
 two that has just come or gone."""
 
@@ -128,7 +128,7 @@
     return request_id.rpartition(".")[0]
 
 
-def targets(
+def handover_targets(
     route: str,
     members: Iterable[Member],
     *,
@@ -151,7 +151,7 @@
 
 
 @dataclass(frozen=True)
-class Departure:
+class PendingTransfer:
     """What the order of leaving depends on, for one request."""
 
     request_id: str
@@ -160,7 +160,7 @@
     waits: bool
 
 
-def departure_order(departures: Iterable[Departure]) -> list[str]:
+def transfer_order(departures: Iterable[PendingTransfer]) -> list[str]:
     """Return request ids in the order in which their records leave.
 
     The node may be killed before the time it was told, so what leaves first survives.
--- a/packages/endive_core/src/endive_core/history.py
+++ b/packages/endive_core/src/endive_core/history.py
@@ -97,7 +97,7 @@
             self.oldest = gone.version
             self.size -= gone.size
 
-    def restart(self, version: int) -> None:
+    def reset(self, version: int) -> None:
         """Forget everything: the fold was replaced by a snapshot at `version`.
 
         The changes before it are not known here one by one, so a watch from an older
--- a/packages/endive_core/src/endive_core/leases.py
+++ b/packages/endive_core/src/endive_core/leases.py
@@ -82,7 +82,7 @@
         self.usage: dict[int, dict[str, int]] = {}
         self.reported = -1
 
-    def see_end(self, end: int, now: float) -> None:
+    def observe_end(self, end: int, now: float) -> None:
         """Note the log's end as read at `now`; a log that moved starts the wait.
 
         It moved before another node told of that end, so the wait counts from then.
@@ -91,7 +91,7 @@
             self.moved_at = self.heard_at if end == self.heard_end else now
         self.end = end
 
-    def hear_end(self, end: int, heard_at: float) -> None:
+    def observe_peer_end(self, end: int, heard_at: float) -> None:
         """Note an end of the log that another node told of at `heard_at`."""
         if end > self.heard_end:
             self.heard_end = end
--- a/packages/endive_core/src/endive_core/counting.py
+++ b/packages/endive_core/src/endive_core/limit_coordination.py
@@ -31,29 +31,29 @@
 """Share of the allowance that may be spent before all nodes are informed again, once it
 is that low. At most eight rounds of datagrams are sent for each allowance spent."""
 
-ASKING_NODES = 20
+MAX_NODES_WITHOUT_GRANTS = 20
 """Number of nodes up to which no grants are needed. So few nodes broadcast their
 spending five times a second, and together they admit less unreported than operators
 tolerate."""
 
-ASK_S = 0.1
+GRANT_TIMEOUT_S = 0.1
 """Longest wait for the coordinator's answer, seconds. A round trip takes some
 milliseconds; callers' latency targets are a tenth of a second and more."""
 
-UNASKED_S = 3.0
+COORDINATOR_BACKOFF_S = 3.0
 """Seconds for which a coordinator that did not answer isn't asked again; another node
 takes its place. By then it is either in contact again or no longer listed."""
 
-MOST_ASKED = 2
+MAX_GRANT_ATTEMPTS = 2
 """Coordinators asked for one request, one after the other. Two in a row are seldom gone
 together, and a caller within its limit then waits 0.1 s longer."""
 
-ASK_AGAIN_S = 0.2
+GRANT_RETRY_AFTER_S = 0.2
 """Retry-after for a caller refused because no coordinator answered, seconds. On the
 retry a third node is asked."""
 
 
-def may_spend_unasked(units: float, *, left: float, nodes: int) -> bool:
+def may_spend_without_grant(units: float, *, left: float, nodes: int) -> bool:
     """Return whether a node may spend `units` before any other node knows of it.
 
     Parameters
@@ -66,12 +66,12 @@
     return units * nodes <= left
 
 
-def counting_node(organisation: str, nodes: Iterable[str]) -> str:
+def coordinator_for(organisation: str, nodes: Iterable[str]) -> str:
     """Return the coordinator of `organisation`; the same `nodes` give the same one."""
     return rendezvous_choice(organisation, list(nodes))
 
 
-class SpendingCount:
+class UnsentSpending:
     """Spending that the coordinator has counted and not yet sent to all nodes.
 
     Attributes
@@ -81,12 +81,12 @@
     """
 
     def __init__(self) -> None:
-        self.untold: dict[str, dict[str, float]] = {}
+        self.unsent: dict[str, dict[str, float]] = {}
 
     def add(self, organisation: str, node: str, units: float) -> None:
         """Count `units` that `node` has spent."""
         if units > 0:
-            by_node = self.untold.setdefault(organisation, {})
+            by_node = self.unsent.setdefault(organisation, {})
             by_node[node] = by_node.get(node, 0.0) + units
 
     def take_due(self, organisation: str, *, left: float, most: float) -> list[str]:
@@ -99,9 +99,9 @@
         left, most : float
             Units of the allowance that are left, and its capacity when full.
         """
-        by_node = self.untold.get(organisation)
+        by_node = self.unsent.get(organisation)
         if not by_node or left >= BROADCAST_BELOW_SHARE * most:
             return []
         if sum(by_node.values()) < BROADCAST_STEP_SHARE * most:
             return []
-        return list(self.untold.pop(organisation))
+        return list(self.unsent.pop(organisation))
--- a/packages/endive_core/src/endive_core/membership.py
+++ b/packages/endive_core/src/endive_core/membership.py
@@ -12,8 +12,8 @@
 from endive_core.digests import NEWS_TOLD, DigestWriter, Known
 from endive_core.facts import FactTable
 from endive_core.members import (
-    Beat,
     Digest,
+    Heartbeat,
     Member,
     MemberState,
     member_key,
@@ -245,12 +245,12 @@
     def receiver(self) -> str | None:
         """Return the gossip address that the next datagram goes to."""
         members = [k.member.gossip_address for k in self.known.values()]
-        strangers = self.strangers()
-        if strangers and (not members or self.random.random() < STRANGER_SHARE):
-            return self.random.choice(strangers)
+        unknown_addresses = self.unknown_addresses()
+        if unknown_addresses and (not members or self.random.random() < STRANGER_SHARE):
+            return self.random.choice(unknown_addresses)
         return self.random.choice(members) if members else None
 
-    def strangers(self) -> list[str]:
+    def unknown_addresses(self) -> list[str]:
         """Return the gossip addresses at which a node may be that is not known here."""
         heard_of = {known.member.gossip_address for known in self.known.values()}
         heard_of.add(self.me.gossip_address)
@@ -310,7 +310,7 @@
         elif not self._is_buried(member.id, member.age):
             self._add(member)
 
-    def _merge_beat(self, beat: Beat) -> None:
+    def _merge_beat(self, beat: Heartbeat) -> None:
         member_id = self.ids.get(beat.member)
         if member_id == self.me.id:
             return
@@ -346,7 +346,7 @@
         tombstone = self.tombstones.get(member_id)
         return tombstone is not None and age <= tombstone[0].age
 
-    def _is_buried_run(self, member_id: str, beat: Beat) -> bool:
+    def _is_buried_run(self, member_id: str, beat: Heartbeat) -> bool:
         tombstone = self.tombstones.get(member_id)
         return tombstone is not None and beat.heartbeat <= tombstone[0].heartbeat
 
--- a/packages/endive_core/src/endive_core/metering.py
+++ b/packages/endive_core/src/endive_core/metering.py
@@ -12,7 +12,7 @@
 node that takes over late still has to report some older ones."""
 
 
-class Meter:
+class UsageMeter:
     """Request counts of this node, and of the others as received.
 
     Parameters
@@ -37,14 +37,14 @@
         for old in sorted(self.own_counts)[:-WINDOWS_KEPT]:
             del self.own_counts[old]
 
-    def tell(self) -> dict[int, dict[str, int]]:
+    def own_totals(self) -> dict[int, dict[str, int]]:
         """Return this node's counts of its last two windows, for the broadcast."""
         return {
             window: dict(self.own_counts[window])
             for window in sorted(self.own_counts)[-2:]
         }
 
-    def hear(
+    def receive(
         self, node: str, incarnation: int, counts: dict[int, dict[str, int]]
     ) -> None:
         """Apply another node's counts, which only grow within one incarnation."""
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -15,8 +15,8 @@
 from endive_core.crashes import CrashTable
 from endive_core.exceptions import ErrorKind, RetryReason
 from endive_core.expiry import Expiry
-from endive_core.failures import Failures
-from endive_core.first_tokens import FirstTokens
+from endive_core.failures import FailureHandler
+from endive_core.first_tokens import FirstTokenLearner
 from endive_core.messages import ServerView
 from endive_core.outliers import OutlierDetector
 from endive_core.placement import Placement
@@ -25,8 +25,8 @@
 from endive_core.queueing import FairQueue
 from endive_core.servers import Random, ServerLoad, ServerSet
 from endive_core.service_types import ServiceType
-from endive_core.shifting import Shift, plan_shifts
-from endive_core.usage import SlotUsage
+from endive_core.slot_usage import SlotUsage
+from endive_core.stream_moves import StreamMove, plan_moves
 
 if TYPE_CHECKING:
     from endive_core.resources import Deployment, Organisation
@@ -74,10 +74,10 @@
         self.admission = Admission(
             policy, self.servers, self.queue, self.usage, self.crashes, service_type
         )
-        self.first_tokens = FirstTokens(
+        self.first_tokens = FirstTokenLearner(
             self.servers, self.admission.rate, self.outliers, prefill
         )
-        self.failures = Failures(policy, self.servers, self.crashes, random)
+        self.failures = FailureHandler(policy, self.servers, self.crashes, random)
         self.running = self.failures.running
         self.refusals: Counter[ErrorKind] = Counter()
         self.expiry = Expiry(
@@ -120,7 +120,9 @@
         self, server_id: str, seq: int, *, stored: bool, blocks: list[int]
     ) -> None:
         """Apply one cache event of a server."""
-        self.placement.prefixes.event(server_id, seq, stored=stored, blocks=blocks)
+        self.placement.prefixes.apply_event(
+            server_id, seq, stored=stored, blocks=blocks
+        )
 
     def leaving(self, server_id: str) -> None:
         """Mark a server as leaving, so that it gets no new calls."""
@@ -155,7 +157,7 @@
         """
         if self.crashes.is_poison(call.fingerprint, now):
             self.refusals[ErrorKind.POISON_REQUEST] += 1
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
             )
         return self._enter(call, now)
@@ -192,15 +194,15 @@
         If all would begin after the call's deadline, the call expires and the result
         is ``None``.
         """
-        outlook = self.placement.outlook(ticket, server, now)
-        if outlook.late_s:
+        prediction = self.placement.predict_start(ticket, server, now)
+        if prediction.late_s:
             tier = self.usage.tier(ticket.call)
-            server = self.placement.soonest(ticket, now, tier) or server
-            outlook = self.placement.outlook(ticket, server, now)
-        if outlook.late_s:
-            self.expiry.expire_late(ticket, outlook.late_s)
+            server = self.placement.earliest_server(ticket, now, tier) or server
+            prediction = self.placement.predict_start(ticket, server, now)
+        if prediction.late_s:
+            self.expiry.expire_late(ticket, prediction.late_s)
             return None
-        ticket.yields = outlook.yields
+        ticket.yields = prediction.yields
         return server
 
     def _server_for(self, ticket: Ticket, now: float) -> ServerLoad | None:
@@ -213,9 +215,9 @@
         return self.placement.choose(ticket, now, tier)
 
     def _tick(self, now: float) -> None:
-        self.first_tokens.take_rate(now)
-        self.outliers.compare(now)
-        self.failures.resume(now)
+        self.first_tokens.update_prefill_rates(now)
+        self.outliers.update_outliers(now)
+        self.failures.resume_paused(now)
         self.expiry.expire_without_servers(now)
 
     def close(self) -> None:
@@ -235,14 +237,14 @@
         ticket.attempt += 1
         ticket.dispatched_at = now
         ticket.first_token_at = None
-        self.servers.note_prompt(
+        self.servers.adjust_prefill_backlog(
             server, 1, ticket.uncached_tokens, yields=ticket.yields
         )
         self.placement.pace(server, ticket.uncached_tokens, now)
         server.starting_suspects += ticket.suspect
         self.usage.acquire(ticket.call.organisation)
         self.running.setdefault(server.id, set()).add(ticket)
-        self.servers.note(server, 1, now)
+        self.servers.adjust_in_flight(server, 1, now)
         if ticket.call.blocks:
             self.placement.prefixes.add(server.id, ticket.call.blocks)
 
@@ -256,7 +258,7 @@
         ticket.first_token_at = now
         server = self._server_load_of(ticket)
         if server is not None:
-            self.servers.answered(server)
+            self.servers.record_success(server)
             self._prefill_ended(ticket, server)
         self.first_tokens.learn(
             ticket,
@@ -266,7 +268,7 @@
         )
 
     def _prefill_ended(self, ticket: Ticket, server: ServerLoad) -> None:
-        self.servers.note_prompt(
+        self.servers.adjust_prefill_backlog(
             server, -1, ticket.uncached_tokens, yields=ticket.yields
         )
         server.starting_suspects -= ticket.suspect
@@ -315,22 +317,22 @@
             The delay before the ticket may be queued again, or why it may not be.
         """
         server = self._server_load_of(ticket)
-        self.failures.suspect(ticket, crashed, now)
+        self.failures.attribute_crash(ticket, crashed, now)
         if reason is not RetryReason.SERVER_BUSY:
             ticket.avoid.add(ticket.server)
         self._release(ticket, now)
         self._count_server_failure(server, now, reason, started=started)
-        verdict = self.failures.verdict(
+        decision = self.failures.decide_retry(
             ticket, now, started=started, max_attempts=max_attempts
         )
-        if isinstance(verdict, Refusal):
-            self.refusals[verdict.kind] += 1
+        if isinstance(decision, Refusal):
+            self.refusals[decision.kind] += 1
             self.admission.end(ticket)
         else:
             self.retries[reason] += 1
-        return verdict
+        return decision
 
-    def blame(
+    def count_failure(
         self, ticket: Ticket, now: float, reason: RetryReason, *, started: bool
     ) -> None:
         """Count a failed attempt against its server although it is not retried.
@@ -352,7 +354,7 @@
     ) -> None:
         if server is None:
             return
-        self.failures.blame(server, reason, now)
+        self.failures.penalise_server(server, reason, now)
         if started and reason is not RetryReason.SERVER_LEAVING:
             self.outliers.failed(server)
 
@@ -361,13 +363,13 @@
         ticket.stage = Stage.QUEUED
         self.queue.push(ticket, front=True)
 
-    def shifts(self, server_id: str, *, seconds_left: float) -> list[Shift]:
+    def plan_moves(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
         """Return how this node's streams leave a server under reclaim notice.
 
         The node stops each stream at the source, then calls :meth:`moved`.
         """
         server = self.servers.servers[server_id]
-        return plan_shifts(
+        return plan_moves(
             self.running.get(server_id, ()),
             seconds_left=seconds_left,
             decode_tokens_per_s=server.view.decode_tokens_per_s,
@@ -397,5 +399,5 @@
         if server is not None:
             if ticket.stage is Stage.DISPATCHED:
                 self._prefill_ended(ticket, server)
-            self.servers.note(server, -1, now)
+            self.servers.adjust_in_flight(server, -1, now)
         ticket.server = ""
--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/shared_limits.py
@@ -15,7 +15,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-SILENT_S = 0.9
+SILENCE_TIMEOUT_S = 0.9
 """Seconds of silence after which a node counts as cut off. It may go on spending, so
 its even part of each limit is left to it, and both sides of a network partition
 together stay within the limit. Up to four broadcasts in a row may be lost before
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spender:
+class SpendingOrigin:
     """The node that reports its spending, and how recent the report is.
 
     Attributes
@@ -92,10 +92,10 @@
     """
 
     spent: dict[str, float] = field(default_factory=dict)
-    noted: dict[str, tuple[int, float]] = field(default_factory=dict)
+    last_updates: dict[str, tuple[int, float]] = field(default_factory=dict)
     incarnation: int = 0
     last_seen_at: float = 0.0
-    born_at: float = 0.0
+    started_at: float = 0.0
 
 
 @dataclass
@@ -137,18 +137,20 @@
 
     def __init__(self, now: float = 0.0, *, slack: float = 0.0) -> None:
         self.slack = slack
-        self.silent_s = SILENT_S
+        self.silence_timeout_s = SILENCE_TIMEOUT_S
         self.credit_since = now - INITIAL_CREDIT_S
         self.spent: dict[str, float] = {}
         self.peers: dict[str, PeerSpending] = {}
         self.allowances: dict[str, Allowance] = {}
         self.small_request_allowances: dict[str, Allowance] = {}
 
-    def tell(self) -> dict[str, float]:
+    def own_totals(self) -> dict[str, float]:
         """Return what this node has spent since it started, by organisation."""
         return self.spent
 
-    def hear(self, origin: Spender, spent: Mapping[str, float], now: float) -> None:
+    def receive(
+        self, origin: SpendingOrigin, spent: Mapping[str, float], now: float
+    ) -> None:
         """Apply a state broadcast: what another node has spent since it started."""
         peer = self._current_peer(origin)
         if peer is None:
@@ -156,13 +158,13 @@
             peer = self._reset_peer(origin, before, now)
         peer.last_seen_at = now
         for organisation, units in spent.items():
-            update_sequence, update = peer.noted.get(organisation, (0, 0.0))
+            update_sequence, update = peer.last_updates.get(organisation, (0, 0.0))
             if origin.sequence <= update_sequence:
                 units = max(units, update)
             self._charge(peer, organisation, units)
 
-    def note(
-        self, origin: Spender, organisation: str, units: float, now: float
+    def apply_update(
+        self, origin: SpendingOrigin, organisation: str, units: float, now: float
     ) -> float:
         """Apply an update of what another node has spent of one limit.
 
@@ -180,32 +182,32 @@
                 return 0.0
             peer = self._reset_peer(origin, {}, now)
         newest = (origin.sequence, units)
-        if newest <= peer.noted.get(organisation, (0, 0.0)):
+        if newest <= peer.last_updates.get(organisation, (0, 0.0)):
             return 0.0
-        peer.noted[organisation] = newest
+        peer.last_updates[organisation] = newest
         return self._charge(
             peer, organisation, max(units, peer.spent.get(organisation, 0.0))
         )
 
-    def _current_peer(self, origin: Spender) -> PeerSpending | None:
+    def _current_peer(self, origin: SpendingOrigin) -> PeerSpending | None:
         peer = self.peers.get(origin.node)
         if peer is None or peer.incarnation != origin.incarnation:
             return None
         return peer
 
     def _reset_peer(
-        self, origin: Spender, spent: dict[str, float], now: float
+        self, origin: SpendingOrigin, spent: dict[str, float], now: float
     ) -> PeerSpending:
         peer = PeerSpending(
             spent,
             incarnation=origin.incarnation,
             last_seen_at=now,
-            born_at=now - origin.age_s,
+            started_at=now - origin.age_s,
         )
         self.peers[origin.node] = peer
         return peer
 
-    def _started_recently(self, origin: Spender, now: float) -> bool:
+    def _started_recently(self, origin: SpendingOrigin, now: float) -> bool:
         return now - origin.age_s >= self.credit_since - START_SKEW_S
 
     def _charge(self, peer: PeerSpending, organisation: str, units: float) -> float:
@@ -216,7 +218,7 @@
             self._allowance(organisation).units -= new
         return new
 
-    def expect(self, node: str, now: float) -> None:
+    def add_peer(self, node: str, now: float) -> None:
         """Count a listed node from which nothing has been received yet.
 
         It has the usual silence timeout to report. After a power loss all nodes start
@@ -225,20 +227,21 @@
         """
         self.peers.setdefault(node, PeerSpending(last_seen_at=now))
 
-    def leave(self, node: str) -> None:
+    def remove_peer(self, node: str) -> None:
         """Drop a node that has announced its stop; the others divide its part."""
         self.peers.pop(node, None)
 
-    def forget_silent(self, now: float) -> None:
+    def remove_silent_peers(self, now: float) -> None:
         """Drop nodes that are gone for good; the others divide their parts."""
         for node, peer in list(self.peers.items()):
             if now - peer.last_seen_at > PEER_EXPIRY_S:
                 del self.peers[node]
 
-    def part(self, now: float) -> float:
+    def reachable_share(self, now: float) -> float:
         """Return the share of each limit that belongs to the nodes in contact."""
         silent = sum(
-            now - peer.last_seen_at > self.silent_s for peer in self.peers.values()
+            now - peer.last_seen_at > self.silence_timeout_s
+            for peer in self.peers.values()
         )
         nodes = len(self.peers) + 1
         return (nodes - silent) / nodes
@@ -285,7 +288,7 @@
 
     def grant(
         self,
-        origin: Spender,
+        origin: SpendingOrigin,
         organisation: str,
         total: float,
         now: float,
@@ -309,22 +312,22 @@
         left, _ = self.left(organisation, now, rate=rate, burst=burst)
         if left <= 0:
             return self._wait_until_positive(left, rate, now)
-        return 0.0 if self.note(origin, organisation, total, now) > 0 else None
+        return 0.0 if self.apply_update(origin, organisation, total, now) > 0 else None
 
     def _wait_until_positive(self, left: float, rate: float, now: float) -> float:
-        return 0.001 - left / (rate * self.part(now))
+        return 0.001 - left / (rate * self.reachable_share(now))
 
     def left(
         self, organisation: str, now: float, *, rate: float, burst: float
     ) -> tuple[float, float]:
         """Return the units left of a limit, and its capacity when full."""
-        share = self.part(now)
+        share = self.reachable_share(now)
         most = (burst + SLACK_BURST_SHARE * self.slack) * share
         allowance = self._allowance(organisation)
         allowance.refill(now, rate=rate * share, burst=most)
         return allowance.units, most
 
-    def give_back(self, organisation: str, units: float) -> None:
+    def refund(self, organisation: str, units: float) -> None:
         """Refund the units of a request that did not run."""
         self.spend(organisation, -units)
 
--- a/packages/endive_core/tests/test_backlogs.py
+++ b/packages/endive_core/tests/test_backlogs.py
@@ -3,7 +3,12 @@
 
 import pytest
 from core_builders import call, dispatch_all, view
-from endive_core.backlogs import MAX_SERVERS_SENT, PEER_EXPIRY_S, Backlogs, told_tokens
+from endive_core.backlogs import (
+    MAX_SERVERS_SENT,
+    PEER_EXPIRY_S,
+    Backlogs,
+    largest_backlogs,
+)
 from endive_core.calls import Call
 from endive_core.policy import Policy
 from endive_core.scheduler import Scheduler
@@ -18,8 +23,8 @@
 
 def test_a_reported_backlog_shrinks_as_the_server_computes():
     backlogs = Backlogs()
-    backlogs.hear("a", {"s1": 30_000.0}, 10.0)
-    backlogs.hear("b", {"s1": 9_000.0, "s2": 2_000.0}, 10.0)
+    backlogs.receive("a", {"s1": 30_000.0}, 10.0)
+    backlogs.receive("b", {"s1": 9_000.0, "s2": 2_000.0}, 10.0)
     assert backlogs.tokens("s1", 10.0, RATE) == 39_000.0
     assert backlogs.tokens("s1", 10.5, RATE) == pytest.approx(19_500.0)
     assert backlogs.tokens("s1", 11.5, RATE) == 0.0
@@ -28,11 +33,11 @@
 
 def test_the_newest_broadcast_of_a_node_replaces_its_last():
     backlogs = Backlogs()
-    backlogs.hear("a", {"s1": 5_000.0, "s2": 1_000.0}, 10.0)
-    backlogs.hear("a", {"s1": 2_000.0}, 10.2)
+    backlogs.receive("a", {"s1": 5_000.0, "s2": 1_000.0}, 10.0)
+    backlogs.receive("a", {"s1": 2_000.0}, 10.2)
     assert backlogs.tokens("s1", 10.2, RATE) == 2_000.0
     assert backlogs.tokens("s2", 10.2, RATE) == 0.0
-    backlogs.hear("a", {}, 10.4)
+    backlogs.receive("a", {}, 10.4)
     assert not backlogs.by_server
 
 
@@ -40,29 +45,29 @@
     """A node is killed in the middle of a long prompt. Without expiry, the server would
     look busy for good."""
     backlogs = Backlogs()
-    backlogs.hear("a", {"s1": 1e9}, 10.0)
+    backlogs.receive("a", {"s1": 1e9}, 10.0)
     assert backlogs.tokens("s1", 10.0 + PEER_EXPIRY_S, RATE) == 0.0
 
 
 def test_a_prompt_reported_at_once_counts_until_the_next_broadcast():
     backlogs = Backlogs()
-    backlogs.hear("a", {"s1": 2_000.0}, 10.0)
+    backlogs.receive("a", {"s1": 2_000.0}, 10.0)
     backlogs.add("a", "s1", 50_000.0, 10.1)
     backlogs.add("b", "s2", 20_000.0, 10.1)
     assert backlogs.tokens("s1", 10.1, RATE) == 52_000.0
     assert backlogs.tokens("s2", 10.1, RATE) == 20_000.0
-    backlogs.hear("a", {"s1": 40_000.0}, 10.3)
-    backlogs.hear("b", {}, 10.3)
+    backlogs.receive("a", {"s1": 40_000.0}, 10.3)
+    backlogs.receive("b", {}, 10.3)
     assert backlogs.tokens("s1", 10.3, RATE) == 40_000.0
     assert backlogs.tokens("s2", 10.3, RATE) == 0.0
 
 
 def test_only_the_largest_backlogs_are_sent():
     own = {f"s{n}": 1_000.0 + n for n in range(100)} | {"small": 10.0}
-    told = told_tokens(own)
+    told = largest_backlogs(own)
     assert len(told) == MAX_SERVERS_SENT
     assert min(told.values()) == 1_000.0 + 100 - MAX_SERVERS_SENT
-    assert told_tokens({"small": 10.0}) == {}
+    assert largest_backlogs({"small": 10.0}) == {}
 
 
 def late_share(*, broadcasting: bool, seconds: float = 60.0) -> float:
@@ -117,7 +122,7 @@
             own = {load.id: load.starting_tokens for load in loads}
             for other in range(NODES):
                 if broadcasting and other != payload:
-                    backlogs[other].hear(str(payload), told_tokens(own), now)
+                    backlogs[other].receive(str(payload), largest_backlogs(own), now)
     return late / asked
 
 
--- a/packages/endive_core/tests/test_freshness.py
+++ b/packages/endive_core/tests/test_freshness.py
@@ -75,7 +75,7 @@
     for at in due:
         while at < 30.0:
             asked.append(at)
-            at += max(0.5, Freshness(BOUND_S, started_at=0.0).turns_s(nodes))
+            at += max(0.5, Freshness(BOUND_S, started_at=0.0).retry_delay_s(nodes))
     in_seconds = [sum(s <= at < s + 1 for at in asked) for s in range(30)]
     assert max(in_seconds) <= 2 * AT_LIMIT
 
--- a/packages/endive_core/tests/test_leases.py
+++ b/packages/endive_core/tests/test_leases.py
@@ -15,7 +15,7 @@
 
 def test_the_first_claim_needs_no_wait():
     made = log()
-    made.see_end(0, 10.0)
+    made.observe_end(0, 10.0)
     assert made.may_claim("a", 10.0)
 
 
@@ -24,7 +24,7 @@
     before the lease is over would order servers beside it."""
     made = log()
     made.fold(0, record(DutyKind.CLAIM, "a"))
-    made.see_end(1, 10.0)
+    made.observe_end(1, 10.0)
     lease = Lease()
     lease.extend(1, 10.0, made)
     assert not made.may_claim("b", 12.0)
@@ -37,9 +37,9 @@
 def test_a_renewal_starts_the_wait_anew():
     made = log()
     made.fold(0, record(DutyKind.CLAIM, "a"))
-    made.see_end(1, 10.0)
+    made.observe_end(1, 10.0)
     made.fold(1, record(DutyKind.RENEWAL, "a", 1))
-    made.see_end(2, 12.0)
+    made.observe_end(2, 12.0)
     assert not made.may_claim("b", 14.0)
     assert made.may_claim("b", 12.0 + LEASE_S + MARGIN_S)
 
@@ -48,7 +48,7 @@
     made = log()
     made.fold(0, record(DutyKind.CLAIM, "a"))
     made.fold(1, record(DutyKind.RELEASE, "a", 1))
-    made.see_end(2, 10.0)
+    made.observe_end(2, 10.0)
     assert made.may_claim("b", 10.0)
     assert not made.may_claim("a", 10.0)
 
@@ -61,7 +61,7 @@
     made.fold(1, record(DutyKind.RELEASE, "a", 1))
     made.fold(2, record(DutyKind.CLAIM, "b"))
     made.fold(3, record(DutyKind.RELEASE, "b", 3))
-    made.see_end(4, 10.0)
+    made.observe_end(4, 10.0)
     assert not made.may_claim("a", 10.5)
     assert made.may_claim("c", 10.5)
 
@@ -99,7 +99,7 @@
 def test_a_log_that_forgot_its_claim_still_names_the_holder():
     made = log()
     made.fold(40, DutyRecord(DutyKind.RENEWAL, "a", 1, 12, 6))
-    made.see_end(41, 10.0)
+    made.observe_end(41, 10.0)
     assert (made.tenure.holder, made.tenure.fence) == ("a", 12)
     assert made.reported == 6
     assert not made.may_claim("b", 10.1)
@@ -109,18 +109,18 @@
     """A holder dies, and a candidate that never read the log takes over. Counted from
     its first read, servers would not be ordered for three seconds more."""
     made = log()
-    made.hear_end(1, 10.0)
+    made.observe_peer_end(1, 10.0)
     made.fold(0, record(DutyKind.CLAIM, "a"))
-    made.see_end(1, 12.8)
+    made.observe_end(1, 12.8)
     assert not made.may_claim("b", 12.8)
     assert made.may_claim("b", 10.0 + LEASE_S + MARGIN_S)
 
 
 def test_a_log_that_moved_on_since_it_was_told_of_starts_the_wait():
     made = log()
-    made.hear_end(1, 10.0)
+    made.observe_peer_end(1, 10.0)
     made.fold(0, record(DutyKind.CLAIM, "a"))
     made.fold(1, record(DutyKind.RENEWAL, "a", 1))
-    made.see_end(2, 12.8)
+    made.observe_end(2, 12.8)
     assert not made.may_claim("b", 12.8 + LEASE_S)
     assert made.may_claim("b", 12.8 + LEASE_S + MARGIN_S)
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_limit_coordination.py
@@ -2,13 +2,13 @@
 import itertools
 
 import pytest
-from endive_core.counting import (
-    ASK_S,
-    SpendingCount,
-    counting_node,
-    may_spend_unasked,
+from endive_core.limit_coordination import (
+    GRANT_TIMEOUT_S,
+    UnsentSpending,
+    coordinator_for,
+    may_spend_without_grant,
 )
-from endive_core.sharing import INITIAL_CREDIT_S, SharedLimits, Spender
+from endive_core.shared_limits import INITIAL_CREDIT_S, SharedLimits, SpendingOrigin
 
 RATE, BURST, SLACK = 400.0, 400.0, 800.0
 WINDOW_S = 4.0
@@ -22,7 +22,7 @@
     def __init__(self, name, now):
         self.name = name
         self.limits = SharedLimits(now, slack=SLACK)
-        self.count = SpendingCount()
+        self.count = UnsentSpending()
         self.sequence = 0
 
 
@@ -55,7 +55,7 @@
         self.nodes = {f"n{i}": Node(f"n{i}", 0.0) for i in range(size)}
         for node in self.nodes.values():
             for other in self.nodes.keys() - {node.name}:
-                node.limits.expect(other, 0.0)
+                node.limits.add_peer(other, 0.0)
         self.updates = updates
         self.lost = lost
         self.grants = grants
@@ -74,19 +74,19 @@
 
     def broadcast(self, node):
         node.sequence += 1
-        spent = dict(node.limits.tell())
+        spent = dict(node.limits.own_totals())
         for other in self.nodes.values():
             if other is not node:
                 self.schedule(
-                    self.delay_s, self.hear, other, node.name, spent, node.sequence
+                    self.delay_s, self.receive, other, node.name, spent, node.sequence
                 )
         self.schedule(BROADCAST_INTERVAL_S, self.broadcast, node)
 
-    def hear(self, node, sender, spent, sequence):
-        node.limits.hear(self.spender(sender, sequence), spent, self.now)
+    def receive(self, node, sender, spent, sequence):
+        node.limits.receive(self.spender(sender, sequence), spent, self.now)
 
     def spender(self, name, sequence):
-        return Spender(name, 1, sequence, age_s=self.now)
+        return SpendingOrigin(name, 1, sequence, age_s=self.now)
 
     def send_update(self, receiver, entries):
         self.updates_sent += 1
@@ -98,8 +98,8 @@
             if name == node.name:
                 continue
             spender = self.spender(name, sequence)
-            new = node.limits.note(spender, "o", units, self.now)
-            if counting_node("o", self.nodes) == node.name:
+            new = node.limits.apply_update(spender, "o", units, self.now)
+            if coordinator_for("o", self.nodes) == node.name:
                 self.count_at_coordinator(node, name, new)
 
     def count_at_coordinator(self, coordinator, name, units):
@@ -112,17 +112,17 @@
                 self.send_update(other, entries)
 
     def entry(self, coordinator, name):
-        spent = coordinator.limits.tell()
+        spent = coordinator.limits.own_totals()
         if name != coordinator.name:
             spent = coordinator.limits.peers[name].spent
         return name, spent["o"], self.nodes[name].sequence
 
     def request(self, node):
-        coordinator = self.nodes[counting_node("o", self.nodes)]
+        coordinator = self.nodes[coordinator_for("o", self.nodes)]
         left, _ = node.limits.left("o", self.now, rate=RATE, burst=BURST)
-        even = may_spend_unasked(UNITS, left=left, nodes=len(self.nodes))
+        even = may_spend_without_grant(UNITS, left=left, nodes=len(self.nodes))
         if self.grants and node is not coordinator and left > 0 and not even:
-            if 2 * self.delay_s < ASK_S and not self.lost():
+            if 2 * self.delay_s < GRANT_TIMEOUT_S and not self.lost():
                 self.schedule(self.delay_s, self.grant, coordinator, node)
             return
         if node.limits.wait_s("o", UNITS, self.now, rate=RATE, burst=BURST):
@@ -134,7 +134,7 @@
             self.send_update(coordinator, [self.entry(node, node.name)])
 
     def grant(self, coordinator, node):
-        total = node.limits.tell().get("o", 0.0) + UNITS
+        total = node.limits.own_totals().get("o", 0.0) + UNITS
         spender = self.spender(node.name, node.sequence)
         wait_s = coordinator.limits.grant(
             spender, "o", total, self.now, rate=RATE, burst=BURST
@@ -228,17 +228,17 @@
 
 
 def spender(*, sequence, age_s=1.0):
-    return Spender("p", 1, sequence, age_s)
+    return SpendingOrigin("p", 1, sequence, age_s)
 
 
 def applied(limits, units, **options):
-    return limits.note(spender(**options), "o", units, 1.0)
+    return limits.apply_update(spender(**options), "o", units, 1.0)
 
 
 def test_an_update_is_not_counted_again_with_the_broadcast():
     limits = SharedLimits(0.0)
     assert applied(limits, 20.0, sequence=1) == 20.0
-    limits.hear(spender(sequence=2), {"o": 20.0}, 1.1)
+    limits.receive(spender(sequence=2), {"o": 20.0}, 1.1)
     assert limits.allowances["o"].units == -20.0
 
 
@@ -248,9 +248,9 @@
     charged."""
     limits = SharedLimits(0.0)
     applied(limits, 20.0, sequence=3)
-    limits.hear(spender(sequence=3), {"o": 0.0}, 1.1)
+    limits.receive(spender(sequence=3), {"o": 0.0}, 1.1)
     assert limits.allowances["o"].units == -20.0
-    limits.hear(spender(sequence=4), {"o": 0.0}, 1.2)
+    limits.receive(spender(sequence=4), {"o": 0.0}, 1.2)
     assert limits.allowances["o"].units == 0.0
 
 
@@ -271,7 +271,7 @@
 
 @pytest.mark.parametrize(("left", "due"), [(60.0, False), (40.0, True)])
 def test_all_nodes_are_informed_when_little_is_left(left, due):
-    count = SpendingCount()
+    count = UnsentSpending()
     count.add("o", "a", 10.0)
     count.add("o", "b", 5.0)
     assert bool(count.take_due("o", left=left, most=100.0)) is due
--- a/packages/endive_core/tests/test_returning.py
+++ b/packages/endive_core/tests/test_retry_after.py
@@ -1,4 +1,4 @@
-from endive_core.returning import (
+from endive_core.retry_after import (
     PERIOD_WINDOWS,
     WINDOW_S,
     RetryWindows,
--- a/packages/endive_core/tests/test_sharing.py
+++ b/packages/endive_core/tests/test_shared_limits.py
@@ -1,9 +1,9 @@
-from endive_core.sharing import (
+from endive_core.shared_limits import (
     INITIAL_CREDIT_S,
     PEER_EXPIRY_S,
-    SILENT_S,
+    SILENCE_TIMEOUT_S,
     SharedLimits,
-    Spender,
+    SpendingOrigin,
 )
 
 RATE, BURST = 1000.0, 1000.0
@@ -20,16 +20,16 @@
         for index, node in enumerate(self.nodes):
             for other in range(count):
                 if other != index:
-                    node.expect(str(other), 0.0)
+                    node.add_peer(str(other), 0.0)
 
     def broadcast(self, now):
         self.sequence += 1
         for side in self.sides:
             for sender in side:
                 for receiver in side - {sender}:
-                    self.nodes[receiver].hear(
-                        Spender(str(sender), 1, self.sequence, age_s=now),
-                        dict(self.nodes[sender].tell()),
+                    self.nodes[receiver].receive(
+                        SpendingOrigin(str(sender), 1, self.sequence, age_s=now),
+                        dict(self.nodes[sender].own_totals()),
                         now,
                     )
 
@@ -76,31 +76,33 @@
     fleet.broadcast(0.0)
     fleet.flood(0.0, 4.0, 8 * RATE, 20.0)
     fleet.sides = [set(range(6)), {6, 7}]
-    fleet.flood(4.0, 4.0 + SILENT_S, 8 * RATE, 20.0)
-    admitted = fleet.flood(4.0 + SILENT_S, 12.0 + SILENT_S, 8 * RATE, 20.0)
+    fleet.flood(4.0, 4.0 + SILENCE_TIMEOUT_S, 8 * RATE, 20.0)
+    admitted = fleet.flood(
+        4.0 + SILENCE_TIMEOUT_S, 12.0 + SILENCE_TIMEOUT_S, 8 * RATE, 20.0
+    )
     assert admitted <= (8 * RATE + BURST) * 1.1
 
 
 def test_the_part_of_a_node_that_is_gone_is_divided():
     limits = SharedLimits(0.0)
-    limits.expect("other", 0.0)
-    assert limits.part(0.1 + SILENT_S) == 0.5
-    limits.forget_silent(PEER_EXPIRY_S + SILENT_S + 1.0)
-    assert limits.part(PEER_EXPIRY_S + 2.0) == 1.0
+    limits.add_peer("other", 0.0)
+    assert limits.reachable_share(0.1 + SILENCE_TIMEOUT_S) == 0.5
+    limits.remove_silent_peers(PEER_EXPIRY_S + SILENCE_TIMEOUT_S + 1.0)
+    assert limits.reachable_share(PEER_EXPIRY_S + 2.0) == 1.0
 
 
 def test_the_part_of_a_node_that_announced_its_stop_is_divided_at_once():
     limits = SharedLimits(0.0)
-    limits.hear(Spender("other", 1, 1, 1.0), {}, 1.0)
-    limits.leave("other")
-    assert limits.part(5.0) == 1.0
+    limits.receive(SpendingOrigin("other", 1, 1, 1.0), {}, 1.0)
+    limits.remove_peer("other")
+    assert limits.reachable_share(5.0) == 1.0
 
 
 def test_earlier_spending_of_an_old_peer_is_not_charged():
     """A restarted node receives what the others have spent in an hour. Charged at once,
     it would have the organisation's callers refused for an hour."""
     limits = SharedLimits(0.0)
-    limits.hear(Spender("old", 1, 18_000, 3600.0), {"o": 1e9}, 1.0)
+    limits.receive(SpendingOrigin("old", 1, 18_000, 3600.0), {"o": 1e9}, 1.0)
     assert limits.wait_s("o", 1.0, 1.0, rate=RATE, burst=BURST) == 0.0
 
 
@@ -109,15 +111,15 @@
     others only two seconds later, when these have sent thirty. If their spending until
     then did not count, it would be admitted twice."""
     limits = SharedLimits(0.0)
-    limits.hear(Spender("p", 1, 30, 2.5), {"o": 600.0}, 2.2)
+    limits.receive(SpendingOrigin("p", 1, 30, 2.5), {"o": 600.0}, 2.2)
     assert limits.allowances["o"].units == -600.0
 
 
 def test_a_restarted_peer_counts_from_zero():
     limits = SharedLimits(0.0)
-    limits.hear(Spender("p", 1, 100, 20.0), {"o": 5000.0}, 1.0)
-    limits.hear(Spender("p", 2, 1, 0.1), {"o": 10.0}, 1.5)
-    limits.hear(Spender("p", 2, 2, 0.3), {"o": 10.0}, 1.7)
+    limits.receive(SpendingOrigin("p", 1, 100, 20.0), {"o": 5000.0}, 1.0)
+    limits.receive(SpendingOrigin("p", 2, 1, 0.1), {"o": 10.0}, 1.5)
+    limits.receive(SpendingOrigin("p", 2, 2, 0.3), {"o": 10.0}, 1.7)
     assert limits.allowances["o"].units == -10.0
 
 
@@ -134,7 +136,7 @@
     limits = SharedLimits(0.0)
     limits.wait_s("o", 500.0, 1.0, rate=RATE, burst=BURST)
     before = limits.allowances["o"].units
-    limits.give_back("o", 500.0)
+    limits.refund("o", 500.0)
     assert limits.allowances["o"].units == before + 500.0
     assert limits.tell()["o"] == 0.0
 
--- a/packages/endive_core/tests/test_yielding.py
+++ b/packages/endive_core/tests/test_yielding.py
@@ -148,11 +148,11 @@
     many.placement.backlogs = Backlogs()
     many.set_nodes(80)
     for server in many.servers.servers.values():
-        many.servers.note_prompt(server, 1, 20_000.0, yields=False)
+        many.servers.adjust_prefill_backlog(server, 1, 20_000.0, yields=False)
     late = send(many, 10_000)
     assert late.yields
     server = many.servers.servers[late.server]
-    assert 10_000 < many.servers.yielding_at(server) < 40_000
+    assert 10_000 < many.servers.yielding_tokens_at(server) < 40_000
 
 
 def test_yielding_prompts_of_a_removed_server_do_not_count(made):
