--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -1,8 +1,8 @@
 """What an organisation spends, told at once to the node that adds it up.
 
 It goes by UDP at a port of its own, beside the tellings: a request must not wait for
-them, nor they for it. :mod:`endive_core.limit_coordination` decides who adds up and when the
-others are told; what is lost here, the tellings make good for.
+them, nor they for it. :mod:`endive_core.limit_coordination` decides who adds up and
+when the others are told; what is lost here, the tellings make good for.
 """
 
 import time
@@ -129,8 +129,8 @@
     def take(self, terms: OrganisationLimits, units: float) -> float:
         """Return 0 and spend `units` if a request may come, else the seconds to wait.
 
-        See :meth:`endive_core.shared_limits.SharedLimits.wait_s`. Among many nodes, what is
-        more than this node's part of the rest is asked for.
+        See :meth:`endive_core.shared_limits.SharedLimits.wait_s`. Among many nodes,
+        what is more than this node's part of the rest is asked for.
         """
         limits = self.context.limits
         for _ in range(MAX_GRANT_ATTEMPTS):
