--- a/packages/endive_core/src/endive_core/__init__.py
+++ b/packages/endive_core/src/endive_core/__init__.py
@@ -9,7 +9,8 @@
 - placement: ``placement``, ``prefixes``, ``ring``, ``hashing``, ``servers``,
   ``backlogs``, ``prefilling``, ``first_tokens``
 - failures: ``failures``, ``retrying``, ``crashes``, ``outliers``, ``ejection``
-- limits and metering: ``quotas``, ``shared_limits``, ``limit_coordination``, ``metering``
+- limits and metering: ``quotas``, ``shared_limits``, ``limit_coordination``,
+  ``metering``
 - capacity: ``capacity``, ``load_sizing``
 - moving streams and requests: ``stream_moves``, ``handover``, ``claims``
 - membership: ``membership``, ``members``, ``digests``, ``facts``, ``leases``,
--- a/packages/endive_core/src/endive_core/backlogs.py
+++ b/packages/endive_core/src/endive_core/backlogs.py
@@ -37,9 +37,9 @@
     def receive(self, node: str, tokens: Mapping[str, float], now: float) -> None:
         """Replace another node's backlogs by server with those it has just sent."""
         for server in self.by_node.get(node, set()) - tokens.keys():
-            by_node_tokens = self.by_server[server]
-            del by_node_tokens[node]
-            if not by_node_tokens:
+            tokens_by_node = self.by_server[server]
+            del tokens_by_node[node]
+            if not tokens_by_node:
                 del self.by_server[server]
         for server, count in tokens.items():
             self.by_server.setdefault(server, {})[node] = (count, now)
@@ -47,9 +47,9 @@
 
     def add(self, node: str, server: str, tokens: float, now: float) -> None:
         """Add a prompt that another node has just sent; its next broadcast has it."""
-        by_node_tokens = self.by_server.setdefault(server, {})
-        before, _ = by_node_tokens.get(node, (0.0, now))
-        by_node_tokens[node] = (before + tokens, now)
+        tokens_by_node = self.by_server.setdefault(server, {})
+        before, _ = tokens_by_node.get(node, (0.0, now))
+        tokens_by_node[node] = (before + tokens, now)
         self.by_node.setdefault(node, set()).add(server)
 
     def tokens(self, server: str, now: float, tokens_per_s: float) -> float:
@@ -61,11 +61,11 @@
             The server's prefill rate. The server works for all nodes in turn, so the
             mean age of their backlogs is deducted once, not once for each node.
         """
-        by_node_tokens = self.by_server.get(server)
-        if not by_node_tokens:
+        tokens_by_node = self.by_server.get(server)
+        if not tokens_by_node:
             return 0.0
         recent = [
-            entry for entry in by_node_tokens.values() if now - entry[1] < PEER_EXPIRY_S
+            entry for entry in tokens_by_node.values() if now - entry[1] < PEER_EXPIRY_S
         ]
         if not recent:
             return 0.0
--- a/packages/endive_core/src/endive_core/queueing.py
+++ b/packages/endive_core/src/endive_core/queueing.py
@@ -134,8 +134,8 @@
         for _, name in self.heap:
             other = self.queues[name]
             if other is not queue:
-                turn = max(0.0, start - other.tag) * other.share
-                ahead += min(other.tokens, turn)
+                earlier = max(0.0, start - other.tag) * other.share
+                ahead += min(other.tokens, earlier)
         return ahead
 
 
--- a/packages/endive_core/src/endive_core/shared_limits.py
+++ b/packages/endive_core/src/endive_core/shared_limits.py
@@ -81,13 +81,13 @@
     ----------
     spent : dict
         Units by organisation.
-    noted : dict
+    last_updates : dict
         For each organisation the newest update sent outside the state broadcasts: the
         sequence number of the node's last broadcast before it, and the units. A
         broadcast up to that number is older than the update.
     last_seen_at : float
         When the node was last in contact, on this node's clock.
-    born_at : float
+    started_at : float
         When the node started, on this node's clock.
     """
 
@@ -130,7 +130,7 @@
 
     Attributes
     ----------
-    silent_s : float
+    silence_timeout_s : float
         Seconds of silence after which a node counts as cut off; longer among many
         nodes, which broadcast less often.
     """
--- a/packages/endive_core/src/endive_core/slot_usage.py
+++ b/packages/endive_core/src/endive_core/slot_usage.py
@@ -46,8 +46,8 @@
         """
         if call.bulk:
             return Tier.BULK
-        part = min(MAX_ORGANISATION_SHARE, self._current_share(call.organisation))
-        if self.held[call.organisation] >= max(1.0, part * self.slots()):
+        share = min(MAX_ORGANISATION_SHARE, self._current_share(call.organisation))
+        if self.held[call.organisation] >= max(1.0, share * self.slots()):
             return Tier.OVER_SHARE
         return Tier.WITHIN_SHARE
 
@@ -62,8 +62,8 @@
 
     def slots(self) -> float:
         """Return this node's part of all slots."""
-        part = max(self.servers.share, 1 / self.servers.nodes)
-        return max(self.servers.own_in_flight, self.servers.slots_total * part)
+        share = max(self.servers.share, 1 / self.servers.nodes)
+        return max(self.servers.own_in_flight, self.servers.slots_total * share)
 
     def _current_share(self, organisation: str) -> float:
         """Return the organisation's share among those that hold slots now."""
--- a/packages/endive_core/tests/test_backlogs.py
+++ b/packages/endive_core/tests/test_backlogs.py
@@ -64,9 +64,9 @@
 
 def test_only_the_largest_backlogs_are_sent():
     own = {f"s{n}": 1_000.0 + n for n in range(100)} | {"small": 10.0}
-    told = largest_backlogs(own)
-    assert len(told) == MAX_SERVERS_SENT
-    assert min(told.values()) == 1_000.0 + 100 - MAX_SERVERS_SENT
+    largest = largest_backlogs(own)
+    assert len(largest) == MAX_SERVERS_SENT
+    assert min(largest.values()) == 1_000.0 + 100 - MAX_SERVERS_SENT
     assert largest_backlogs({"small": 10.0}) == {}
 
 
--- a/packages/endive_core/tests/test_scheduler.py
+++ b/packages/endive_core/tests/test_scheduler.py
@@ -46,8 +46,8 @@
     made = scheduler()
     ticket = made.offer(call(), 0.0)
     first = made.next_dispatch(0.0).server
-    verdict = made.failed(ticket, 0.1, RetryReason.CONNECT_FAILED, started=False)
-    assert isinstance(verdict, Retry)
+    decision = made.failed(ticket, 0.1, RetryReason.CONNECT_FAILED, started=False)
+    assert isinstance(decision, Retry)
     made.requeue(ticket)
     assert made.next_dispatch(0.2).server != first
 
@@ -59,5 +59,5 @@
     made = scheduler()
     ticket = made.offer(call(non_idempotent=True), 0.0)
     made.next_dispatch(0.0)
-    verdict = made.failed(ticket, 0.1, RetryReason.SERVER_FAILED, started=True)
-    assert verdict.kind is ErrorKind.OUTCOME_UNKNOWN
+    decision = made.failed(ticket, 0.1, RetryReason.SERVER_FAILED, started=True)
+    assert decision.kind is ErrorKind.OUTCOME_UNKNOWN
--- a/packages/endive_core/tests/test_shared_limits.py
+++ b/packages/endive_core/tests/test_shared_limits.py
@@ -138,7 +138,7 @@
     before = limits.allowances["o"].units
     limits.refund("o", 500.0)
     assert limits.allowances["o"].units == before + 500.0
-    assert limits.tell()["o"] == 0.0
+    assert limits.own_totals()["o"] == 0.0
 
 
 def test_callers_who_return_after_a_power_loss_are_not_refused_below_the_limit():
