--- a/packages/endive_core/src/endive_core/slot_usage.py
+++ b/packages/endive_core/src/endive_core/slot_usage.py
@@ -62,8 +62,8 @@
 
     def slots(self) -> float:
         """Return this node's part of all slots."""
-        share = max(self.servers.share, 1 / self.servers.nodes)
-        return max(self.servers.own_in_flight, self.servers.slots_total * share)
+        node_share = max(self.servers.share, 1 / self.servers.nodes)
+        return max(self.servers.own_in_flight, self.servers.slots_total * node_share)
 
     def _current_share(self, organisation: str) -> float:
         """Return the organisation's share among those that hold slots now."""
--- a/packages/endive_core/tests/test_limit_coordination.py
+++ b/packages/endive_core/tests/test_limit_coordination.py
@@ -83,9 +83,9 @@
         self.schedule(BROADCAST_INTERVAL_S, self.broadcast, node)
 
     def receive(self, node, sender, spent, sequence):
-        node.limits.receive(self.spender(sender, sequence), spent, self.now)
+        node.limits.receive(self.origin(sender, sequence), spent, self.now)
 
-    def spender(self, name, sequence):
+    def origin(self, name, sequence):
         return SpendingOrigin(name, 1, sequence, age_s=self.now)
 
     def send_update(self, receiver, entries):
@@ -97,8 +97,8 @@
         for name, units, sequence in entries:
             if name == node.name:
                 continue
-            spender = self.spender(name, sequence)
-            new = node.limits.apply_update(spender, "o", units, self.now)
+            origin = self.origin(name, sequence)
+            new = node.limits.apply_update(origin, "o", units, self.now)
             if coordinator_for("o", self.nodes) == node.name:
                 self.count_at_coordinator(node, name, new)
 
@@ -135,9 +135,9 @@
 
     def grant(self, coordinator, node):
         total = node.limits.own_totals().get("o", 0.0) + UNITS
-        spender = self.spender(node.name, node.sequence)
+        origin = self.origin(node.name, node.sequence)
         wait_s = coordinator.limits.grant(
-            spender, "o", total, self.now, rate=RATE, burst=BURST
+            origin, "o", total, self.now, rate=RATE, burst=BURST
         )
         if wait_s == 0.0:
             self.count_at_coordinator(coordinator, node.name, UNITS)
@@ -198,10 +198,10 @@
     datagrams take 0.1 s. Without grants, 3,500 units of 3,000 were admitted in four
     seconds. With grants, each node's even part of what is left is less than a request,
     so nothing is spent unreported."""
-    applied = Fleet(100, lost=lambda: True, delay_s=0.1)
-    assert most_in_window(applied.flood(10.0, 7 * RATE)) > MOST
-    asked = Fleet(100, lost=lambda: True, grants=True, delay_s=0.1)
-    assert most_in_window(asked.flood(10.0, 7 * RATE)) <= BURST + 0.4 * SLACK
+    without_grants = Fleet(100, lost=lambda: True, delay_s=0.1)
+    assert most_in_window(without_grants.flood(10.0, 7 * RATE)) > MOST
+    with_grants = Fleet(100, lost=lambda: True, grants=True, delay_s=0.1)
+    assert most_in_window(with_grants.flood(10.0, 7 * RATE)) <= BURST + 0.4 * SLACK
 
 
 def test_a_flood_with_grants_gets_what_the_limit_allows():
@@ -227,18 +227,18 @@
     assert 0.9 * RATE * 20.0 <= len(admitted) * UNITS <= RATE * 20.0 + BURST + SLACK
 
 
-def spender(*, sequence, age_s=1.0):
+def origin(*, sequence, age_s=1.0):
     return SpendingOrigin("p", 1, sequence, age_s)
 
 
-def applied(limits, units, **options):
-    return limits.apply_update(spender(**options), "o", units, 1.0)
+def apply_one(limits, units, **options):
+    return limits.apply_update(origin(**options), "o", units, 1.0)
 
 
 def test_an_update_is_not_counted_again_with_the_broadcast():
     limits = SharedLimits(0.0)
-    assert applied(limits, 20.0, sequence=1) == 20.0
-    limits.receive(spender(sequence=2), {"o": 20.0}, 1.1)
+    assert apply_one(limits, 20.0, sequence=1) == 20.0
+    limits.receive(origin(sequence=2), {"o": 20.0}, 1.1)
     assert limits.allowances["o"].units == -20.0
 
 
@@ -247,25 +247,25 @@
     arrives first. Taken as the newest, the broadcast would refund what the update has
     charged."""
     limits = SharedLimits(0.0)
-    applied(limits, 20.0, sequence=3)
-    limits.receive(spender(sequence=3), {"o": 0.0}, 1.1)
+    apply_one(limits, 20.0, sequence=3)
+    limits.receive(origin(sequence=3), {"o": 0.0}, 1.1)
     assert limits.allowances["o"].units == -20.0
-    limits.receive(spender(sequence=4), {"o": 0.0}, 1.2)
+    limits.receive(origin(sequence=4), {"o": 0.0}, 1.2)
     assert limits.allowances["o"].units == 0.0
 
 
 def test_reordered_updates_count_once():
     limits = SharedLimits(0.0)
-    assert applied(limits, 40.0, sequence=1) == 40.0
-    assert applied(limits, 20.0, sequence=1) == 0.0
-    assert applied(limits, 40.0, sequence=1) == 0.0
+    assert apply_one(limits, 40.0, sequence=1) == 40.0
+    assert apply_one(limits, 20.0, sequence=1) == 0.0
+    assert apply_one(limits, 40.0, sequence=1) == 0.0
 
 
 def test_an_update_of_an_unknown_old_node_waits_for_its_broadcast():
     """A restarted node receives the total that another has spent in an hour. Charged at
     once, it would have the organisation's callers refused for an hour."""
     limits = SharedLimits(0.0)
-    assert applied(limits, 1e9, sequence=5000, age_s=3600.0) == 0.0
+    assert apply_one(limits, 1e9, sequence=5000, age_s=3600.0) == 0.0
     assert limits.wait_s("o", 1.0, INITIAL_CREDIT_S, rate=RATE, burst=BURST) == 0.0
 
 
