--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -49,7 +49,7 @@
     wait_s: float
     allowance_s: float
     service_s: float
-    token_s: float
+    seconds_per_token: float
 
     @property
     def first_token_s(self) -> float:
@@ -142,7 +142,7 @@
                 max(self.policy.min_retry_after_s, prediction.wait_s),
             )
         key = (call.organisation, call.rank)
-        cost_s = call.tokens * prediction.token_s
+        cost_s = call.tokens * prediction.seconds_per_token
         in_turn = self.retry_windows.may_enqueue(key, call.fingerprint, now)
         if prediction.long_wait_s <= allowed and (in_turn or not prediction.wait_s):
             if not in_turn:
--- a/packages/endive_core/src/endive_core/metering.py
+++ b/packages/endive_core/src/endive_core/metering.py
@@ -26,13 +26,13 @@
         self.own_counts: dict[int, Counter[str]] = defaultdict(Counter)
         self.peer_counts: dict[tuple[str, int], dict[int, dict[str, int]]] = {}
 
-    def window_of(self, true_time: float) -> int:
-        """Return the number of the window that contains `true_time`."""
-        return int(true_time // self.window_s)
+    def window_of(self, cluster_time: float) -> int:
+        """Return the number of the window that contains `cluster_time`."""
+        return int(cluster_time // self.window_s)
 
-    def begin(self, organisation: str, true_time: float) -> None:
-        """Count a request that a server began at `true_time`, seconds since 1970."""
-        window = self.window_of(true_time)
+    def begin(self, organisation: str, cluster_time: float) -> None:
+        """Count a request that a server began at `cluster_time`, seconds since 1970."""
+        window = self.window_of(cluster_time)
         self.own_counts[window][organisation] += 1
         for old in sorted(self.own_counts)[:-WINDOWS_KEPT]:
             del self.own_counts[old]
