--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -39,10 +39,10 @@
     wait_s : float
         Mean time in the node's queue.
     allowance_s : float
-        What to add to `wait_s` so that few calls wait longer.
+        Margin to add to `wait_s` so that few calls wait longer.
     service_s : float
         Time at the server until the first token.
-    drain_s : float
+    seconds_per_token : float
         Time by which the wait grows for each further token queued.
     """
 
