--- a/packages/endive_core/src/endive_core/estimators.py
+++ b/packages/endive_core/src/endive_core/estimators.py
@@ -34,7 +34,7 @@
         Mean seconds for which a call holds its slot.
     start_s : float
         Mean seconds from dispatch to the first token, without the call's own prefill.
-    answer_part : float
+    answer_share : float
         Mean length of answers as a share of the ``max_tokens`` allowed.
     """
 
--- a/packages/endive_core/src/endive_core/limit_coordination.py
+++ b/packages/endive_core/src/endive_core/limit_coordination.py
@@ -76,7 +76,7 @@
 
     Attributes
     ----------
-    untold : dict of str to dict
+    unsent : dict of str to dict
         Units by node, for each organisation.
     """
 
