--- a/packages/endive_core/src/endive_core/charts/__init__.py
+++ b/packages/endive_core/src/endive_core/charts/__init__.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-Table = dict[tuple[Any, str, str], tuple[str, Any]]
+TransitionTable = dict[tuple[Any, str, str], tuple[str, Any]]
 """From flags, state and event to the next state and flags."""
 
 
@@ -28,7 +28,7 @@
     return msgspec.json.decode(text)
 
 
-def compile_chart(chart: dict[str, Any], all_flags: list[Any]) -> Table:
+def compile_chart(chart: dict[str, Any], all_flags: list[Any]) -> TransitionTable:
     """Return the table of every transition in `chart`.
 
     A state's own transitions go before those of the states around it.
@@ -42,15 +42,15 @@
     """
     root = chart["statechart"]["root state"]
     on_entry = {s["name"]: s["on entry"] for s in _states(root) if "on entry" in s}
-    table: Table = {}
+    table: TransitionTable = {}
     for flags in all_flags:
         for state, transition in _transitions(root, ()):
             key = (flags, state, transition["event"])
-            if key in table or not _holds(transition.get("guard"), flags):
+            if key in table or not _guard_holds(transition.get("guard"), flags):
                 continue
             target = transition.get("target", state)
-            after = _act(transition.get("action"), flags)
-            table[key] = (target, _act(on_entry.get(target), after))
+            after = _apply_action(transition.get("action"), flags)
+            table[key] = (target, _apply_action(on_entry.get(target), after))
     return table
 
 
@@ -70,11 +70,11 @@
         yield from ((state["name"], transition) for transition in transitions)
 
 
-def _holds(guard: str | None, flags: Any) -> bool:
+def _guard_holds(guard: str | None, flags: Any) -> bool:
     return guard is None or eval(guard, {"__builtins__": {}}, asdict(flags))
 
 
-def _act(action: str | None, flags: Any) -> Any:
+def _apply_action(action: str | None, flags: Any) -> Any:
     if action is None:
         return flags
     name, value = action.split(" = ")
--- a/packages/endive_core/src/endive_core/claims.py
+++ b/packages/endive_core/src/endive_core/claims.py
@@ -111,7 +111,7 @@
         if offset <= self.offset:
             return None
         self.offset = offset
-        self._forget(time - self.window_s)
+        self._expire(time - self.window_s)
         if isinstance(record, Release):
             self._release(time, record)
             return None
@@ -150,7 +150,7 @@
         else:
             self.live.pop(key, None)
 
-    def _forget(self, before: float) -> None:
+    def _expire(self, before: float) -> None:
         # Without this a writer's memory grows with every claim ever made, and a node
         # that has run for days would refuse keys that a fresh one accepts.
         while self.entries:
--- a/packages/endive_core/src/endive_core/digests.py
+++ b/packages/endive_core/src/endive_core/digests.py
@@ -11,9 +11,9 @@
 
 from endive_core.facts import Fact, FactTable
 from endive_core.members import (
-    BEAT_BYTES,
     DATAGRAM_BYTES,
     DIGEST_HEAD_BYTES,
+    HEARTBEAT_BYTES,
     Beat,
     Digest,
     Member,
@@ -22,21 +22,21 @@
     member_size,
 )
 
-FACTS_SHARE_BYTES = 500
+MAX_FACTS_BYTES = 500
 """Room for facts in a datagram, so that many facts can't push the heartbeats out."""
 
-NEWS_SHARE = 0.4
-NEWS_TOLD = 3
+ANNOUNCEMENT_SHARE = 0.4
+ANNOUNCEMENTS_PER_MEMBER = 3
 """Room for entries of new members, and datagrams that carry each. After a restart of
 the whole fleet everybody is new; without the limit their entries push the heartbeats
 out for a minute, and live members are suspected. Who misses an entry asks for it."""
 
-BEAT_TOLD = 3
+HEARTBEAT_SENDS = 3
 """Datagrams that carry a heartbeat before those told less often go first again."""
 
 
 @dataclass
-class Known:
+class KnownMember:
     """A member as this node keeps it.
 
     Attributes
@@ -52,13 +52,13 @@
     """
 
     member: Member
-    heard_at: float
-    told: int = 0
-    times_told: int = 0
-    news_left: int = 0
+    last_heard_at: float
+    last_sent: int = 0
+    times_sent: int = 0
+    announcements_left: int = 0
 
 
-class KnownMembers(Protocol):
+class DigestSource(Protocol):
     """What a datagram is written from.
 
     Attributes
@@ -73,7 +73,7 @@
 
     me: Member
     highest_offset: int
-    known: dict[str, Known]
+    known: dict[str, KnownMember]
     ids: dict[int, str]
     wanted: dict[int, None]
     corrections: list[Member]
@@ -83,12 +83,12 @@
 class DigestWriter:
     """Writes one datagram after the other, and remembers what was told when."""
 
-    def __init__(self, members: KnownMembers) -> None:
-        self.members = members
-        self.turn = 0
-        self.fact_news: dict[tuple, int] = {}
-        self.fact_told: dict[tuple, int] = {}
-        members.facts.listeners.append(self._note_fact)
+    def __init__(self, source: DigestSource) -> None:
+        self.source = source
+        self.datagram_number = 0
+        self.fact_repeats_left: dict[tuple, int] = {}
+        self.fact_last_sent: dict[tuple, int] = {}
+        source.facts.listeners.append(self._note_fact)
 
     def write(self, wanted: Iterable[int] = ()) -> Digest:
         """Return the content of the next datagram.
@@ -101,65 +101,70 @@
         wanted : iterable of int
             Keys of the members that the receiver asked for.
         """
-        self.turn += 1
-        known = self.members
-        digest = Digest(known.me, known.highest_offset, wanted=list(known.wanted))
-        digest.members.extend(known.corrections)
-        known.wanted.clear()
-        known.corrections.clear()
-        room = DATAGRAM_BYTES - DIGEST_HEAD_BYTES - member_size(known.me)
+        self.datagram_number += 1
+        source = self.source
+        digest = Digest(source.me, source.highest_offset, wanted=list(source.wanted))
+        digest.members.extend(source.corrections)
+        source.wanted.clear()
+        source.corrections.clear()
+        room = DATAGRAM_BYTES - DIGEST_HEAD_BYTES - member_size(source.me)
         room -= 6 * len(digest.wanted) + sum(map(member_size, digest.members))
-        room -= self._add_facts(digest, min(room, FACTS_SHARE_BYTES))
+        room -= self._add_facts(digest, min(room, MAX_FACTS_BYTES))
         room -= self._add_members(digest, wanted, room)
-        self._add_beats(digest, room)
+        self._add_heartbeats(digest, room)
         return digest
 
     def _add_facts(self, digest: Digest, room: int) -> int:
         used = 0
-        for key in sorted(self.fact_told, key=self._fact_order):
-            fact = self.members.facts.get(key)
+        for key in sorted(self.fact_last_sent, key=self._fact_order):
+            fact = self.source.facts.get(key)
             if fact is None:
-                self.fact_news.pop(key, None)
-                del self.fact_told[key]
+                self.fact_repeats_left.pop(key, None)
+                del self.fact_last_sent[key]
                 continue
             size = fact_size(fact)
             if used + size > room:
                 break
             used += size
             digest.facts.append(fact)
-            self.fact_told[key] = self.turn
-            self.fact_news[key] -= 1
+            self.fact_last_sent[key] = self.datagram_number
+            self.fact_repeats_left[key] -= 1
         return used
 
     def _fact_order(self, key: tuple) -> tuple[bool, int]:
-        return (self.fact_news[key] <= 0, self.fact_told[key])
+        return (self.fact_repeats_left[key] <= 0, self.fact_last_sent[key])
 
     def _add_members(self, digest: Digest, wanted: Iterable[int], room: int) -> int:
-        news = [i for i, known in self.members.known.items() if known.news_left > 0]
-        news_room = int(room * NEWS_SHARE)
-        asked = [self.members.ids[key] for key in wanted if key in self.members.ids]
+        announced = [
+            i for i, known in self.source.known.items() if known.announcements_left > 0
+        ]
+        announced_room = int(room * ANNOUNCEMENT_SHARE)
+        requested = [self.source.ids[key] for key in wanted if key in self.source.ids]
         used = 0
-        for limit, ids in ((room, asked), (news_room, sorted(news, key=self._told))):
+        for limit, ids in (
+            (room, requested),
+            (announced_room, sorted(announced, key=self._last_sent)),
+        ):
             for member_id in ids:
-                known = self.members.known.get(member_id)
-                if known is None or known.told == self.turn:
+                known = self.source.known.get(member_id)
+                if known is None or known.last_sent == self.datagram_number:
                     continue
                 size = member_size(known.member)
                 if used + size > limit:
                     break
                 used += size
                 digest.members.append(known.member)
-                known.news_left -= 1
-                known.told = self.turn
+                known.announcements_left -= 1
+                known.last_sent = self.datagram_number
         return used
 
-    def _add_beats(self, digest: Digest, room: int) -> None:
-        order = sorted(self.members.known.values(), key=_beat_order)
-        for known in order[: room // BEAT_BYTES]:
-            if known.told == self.turn:
+    def _add_heartbeats(self, digest: Digest, room: int) -> None:
+        order = sorted(self.source.known.values(), key=_heartbeat_order)
+        for known in order[: room // HEARTBEAT_BYTES]:
+            if known.last_sent == self.datagram_number:
                 continue
-            known.told = self.turn
-            known.times_told += 1
+            known.last_sent = self.datagram_number
+            known.times_sent += 1
             member = known.member
             beat = Beat(
                 member_key(member),
@@ -169,18 +174,18 @@
             )
             digest.beats.append(beat)
 
-    def _told(self, member_id: str) -> int:
-        return self.members.known[member_id].told
+    def _last_sent(self, member_id: str) -> int:
+        return self.source.known[member_id].last_sent
 
-    def _news_repeats(self) -> int:
+    def _fact_repeats(self) -> int:
         """Return how often news is repeated: enough to reach all with few misses."""
-        return 2 * math.ceil(math.log2(len(self.members.known) + 2)) + 2
+        return 2 * math.ceil(math.log2(len(self.source.known) + 2)) + 2
 
     def _note_fact(self, fact: Fact) -> None:
-        self.fact_news[fact.key] = self._news_repeats()
-        self.fact_told.setdefault(fact.key, 0)
+        self.fact_repeats_left[fact.key] = self._fact_repeats()
+        self.fact_last_sent.setdefault(fact.key, 0)
 
 
-def _beat_order(known: Known) -> tuple[int, int]:
+def _heartbeat_order(known: KnownMember) -> tuple[int, int]:
     """Order heartbeats: those told least often, then those not told for longest."""
-    return (min(known.times_told, BEAT_TOLD), known.told)
+    return (min(known.times_sent, HEARTBEAT_SENDS), known.last_sent)
--- a/packages/endive_core/src/endive_core/facts.py
+++ b/packages/endive_core/src/endive_core/facts.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-CRASH_KEPT_S = 3600.0
+CRASH_RETENTION_S = 3600.0
 """How long a crash counts against a fingerprint: callers who send a request again do
 so within minutes, and a mended model version must get another chance."""
 
-MERGE_SLACK_S = 1.0
+MIN_EXTENSION_S = 1.0
 """Least difference by which an end must grow to be taken over. Ends travel as seconds
 left, since clocks differ between nodes; each hop adds its transit time, and without
 the slack a fact that two nodes keep telling each other would never expire."""
@@ -104,22 +104,22 @@
 
     def crash_fact(self, fingerprint: str, origin: str, count: int) -> Fact:
         """Return the fact that a request crashed `count` servers, counted from now."""
-        until = self.now() + CRASH_KEPT_S
+        until = self.now() + CRASH_RETENTION_S
         return Fact(FactKind.CRASH, fingerprint, origin, count, until)
 
     def leaving_servers(self) -> set[str]:
         """Return the ids of servers under notice."""
-        return {fact.subject for fact in self._held(FactKind.SERVER_LEAVING)}
+        return {fact.subject for fact in self._unexpired(FactKind.SERVER_LEAVING)}
 
     def zones_under_notice(self) -> set[str]:
         """Return the zones under notice."""
-        return {fact.subject for fact in self._held(FactKind.ZONE_UNDER_NOTICE)}
+        return {fact.subject for fact in self._unexpired(FactKind.ZONE_UNDER_NOTICE)}
 
     def crashes(self, fingerprint: str) -> int:
         """Return how many crashes of `fingerprint` all nodes counted together."""
         return sum(
             fact.value
-            for fact in self._held(FactKind.CRASH)
+            for fact in self._unexpired(FactKind.CRASH)
             if fact.subject == fingerprint
         )
 
@@ -130,7 +130,7 @@
         table = self.facts[fact.kind]
         known = table.get(fact.key)
         if known is not None:
-            if not _grown(fact, known):
+            if not _extends(fact, known):
                 return False
             fact = Fact(
                 fact.kind,
@@ -140,7 +140,7 @@
                 max(fact.until, known.until),
             )
         table[fact.key] = fact
-        self._bound(fact.kind)
+        self._evict_excess(fact.kind)
         for listener in self.listeners:
             listener(fact)
         return True
@@ -155,18 +155,18 @@
     def all(self) -> Iterator[Fact]:
         """Yield every fact that holds."""
         for kind in FactKind:
-            yield from self._held(kind)
+            yield from self._unexpired(kind)
 
     def get(self, key: tuple[FactKind, str, str]) -> Fact | None:
         """Return the fact named `key` if it holds."""
         fact = self.facts[key[0]].get(key)
         return fact if fact is not None and fact.until > self.now() else None
 
-    def _held(self, kind: FactKind) -> list[Fact]:
+    def _unexpired(self, kind: FactKind) -> list[Fact]:
         now = self.now()
         return [fact for fact in self.facts[kind].values() if fact.until > now]
 
-    def _bound(self, kind: FactKind) -> None:
+    def _evict_excess(self, kind: FactKind) -> None:
         table = self.facts[kind]
         while len(table) > MAX_FACTS[kind]:
             first_to_end = min(table.values(), key=lambda fact: fact.until)
@@ -174,5 +174,5 @@
             self.dropped += 1
 
 
-def _grown(fact: Fact, known: Fact) -> bool:
-    return fact.value > known.value or fact.until > known.until + MERGE_SLACK_S
+def _extends(fact: Fact, known: Fact) -> bool:
+    return fact.value > known.value or fact.until > known.until + MIN_EXTENSION_S
--- a/packages/endive_core/src/endive_core/freshness.py
+++ b/packages/endive_core/src/endive_core/freshness.py
@@ -7,21 +7,21 @@
 
 from dataclasses import dataclass
 
-PERIOD_PART = 0.4
+FIRST_CHECK_FRACTION = 0.4
 """Part of the bound after which the first node asks."""
 
-RANK_PART = 0.1
+RANK_DELAY_FRACTION = 0.1
 """Part of the bound by which each further node waits longer. One of them asks, and the
 others hear of it before it is their turn."""
 
-LIMIT_PART = 0.6
+LATEST_CHECK_FRACTION = 0.6
 """Part of the bound after which any of a few nodes asks; the rest is for the answer."""
 
-AT_LIMIT = 20
+MAX_CONCURRENT_CHECKS = 20
 """Nodes that may all ask by then. While nobody gets an answer, each node that asks for
 itself only adds to what the store has to turn away."""
 
-TURN_PART = 0.025
+EXTRA_RANK_DELAY_FRACTION = 0.025
 """Part of the bound by which each node beyond those waits longer, and by which all wait
 longer for each node when they ask again: at most twenty ask within half of the bound.
 If any of them gets an answer the others hear of it."""
@@ -58,11 +58,13 @@
 
     def due_at(self, rank: int) -> float:
         """Return when a node asks that `rank` others may ask before."""
-        part = min(LIMIT_PART, PERIOD_PART + RANK_PART * rank)
-        part += TURN_PART * max(0, rank - AT_LIMIT)
+        part = min(
+            LATEST_CHECK_FRACTION, FIRST_CHECK_FRACTION + RANK_DELAY_FRACTION * rank
+        )
+        part += EXTRA_RANK_DELAY_FRACTION * max(0, rank - MAX_CONCURRENT_CHECKS)
         since = self.started_at if self.proven_at is None else self.proven_at
         return since + part * self.bound_s
 
     def turns_s(self, nodes: int) -> float:
         """Return after how long a node asks again that got no answer, among `nodes`."""
-        return TURN_PART * nodes * self.bound_s
+        return EXTRA_RANK_DELAY_FRACTION * nodes * self.bound_s
--- a/packages/endive_core/src/endive_core/handover.py
+++ b/packages/endive_core/src/endive_core/handover.py
@@ -157,7 +157,7 @@
     request_id: str
     level: int
     size: int
-    waits: bool
+    waiting: bool
 
 
 def departure_order(departures: Iterable[Departure]) -> list[str]:
--- a/packages/endive_core/src/endive_core/history.py
+++ b/packages/endive_core/src/endive_core/history.py
@@ -11,7 +11,7 @@
 MAX_EVENTS = 11_000
 """A day of changes: a watcher that was away for longer lists the resources anew."""
 
-MAX_SIZE = 2_000_000
+MAX_SIZE_CHARACTERS = 2_000_000
 """Characters of the kept changes' records, some 10 MB of memory: a day of ordinary
 changes, but only some hundred of services with a hundred servers each. Without it a
 script that changes such services all day takes hundreds of MB on every node."""
@@ -54,7 +54,9 @@
         The lowest version from which a watch can go on without a gap.
     """
 
-    def __init__(self, max_events: int = MAX_EVENTS, max_size: int = MAX_SIZE) -> None:
+    def __init__(
+        self, max_events: int = MAX_EVENTS, max_size: int = MAX_SIZE_CHARACTERS
+    ) -> None:
         self.events: deque[ChangeEvent] = deque()
         self.max_events = max_events
         self.max_size = max_size
--- a/packages/endive_core/src/endive_core/leases.py
+++ b/packages/endive_core/src/endive_core/leases.py
@@ -75,10 +75,10 @@
         self.margin_s = margin_s
         self.end = 0
         self.tenure: Tenure | None = None
-        self.former: list[str] = []
+        self.former_holders: list[str] = []
         self.moved_at: float | None = None
-        self.heard_end = 0
-        self.heard_at = 0.0
+        self.peer_end = 0
+        self.peer_end_at = 0.0
         self.usage: dict[int, dict[str, int]] = {}
         self.reported = -1
 
@@ -88,14 +88,14 @@
         It moved before another node told of that end, so the wait counts from then.
         """
         if end != self.end or self.moved_at is None:
-            self.moved_at = self.heard_at if end == self.heard_end else now
+            self.moved_at = self.peer_end_at if end == self.peer_end else now
         self.end = end
 
-    def hear_end(self, end: int, heard_at: float) -> None:
-        """Note an end of the log that another node told of at `heard_at`."""
-        if end > self.heard_end:
-            self.heard_end = end
-            self.heard_at = heard_at
+    def hear_end(self, end: int, peer_end_at: float) -> None:
+        """Note an end of the log that another node told of at `peer_end_at`."""
+        if end > self.peer_end:
+            self.peer_end = end
+            self.peer_end_at = peer_end_at
 
     def fold(self, offset: int, record: DutyRecord) -> None:
         """Take over one record, in the log's order.
@@ -104,8 +104,8 @@
         """
         if record.kind is DutyKind.CLAIM:
             if self.tenure is not None:
-                self.former.append(self.tenure.holder)
-                del self.former[:-4]
+                self.former_holders.append(self.tenure.holder)
+                del self.former_holders[:-4]
             self.tenure = Tenure(record.holder, record.incarnation, offset + 1)
             return
         if self.tenure is None:
@@ -143,11 +143,11 @@
             return False
         if self.tenure is None:
             return True
-        if self.tenure.released and node not in self.former[-2:]:
-            return self.tenure.holder != node or self._waited(now)
-        return self._waited(now)
+        if self.tenure.released and node not in self.former_holders[-2:]:
+            return self.tenure.holder != node or self._lease_elapsed(now)
+        return self._lease_elapsed(now)
 
-    def _waited(self, now: float) -> bool:
+    def _lease_elapsed(self, now: float) -> bool:
         return now - self.moved_at >= self.lease_s + self.margin_s
 
 
--- a/packages/endive_core/src/endive_core/lifecycle.py
+++ b/packages/endive_core/src/endive_core/lifecycle.py
@@ -58,7 +58,9 @@
 
 
 UNSENT = frozenset({State.ACCEPTED, State.QUEUED, State.CLAIMING, State.CLAIMED})
-FINAL = frozenset({State.HANDED_OVER, State.FINISHED, State.FAILED, State.REFUSED})
+FINAL_STATES = frozenset(
+    {State.HANDED_OVER, State.FINISHED, State.FAILED, State.REFUSED}
+)
 
 
 @dataclass(frozen=True)
@@ -138,4 +140,4 @@
     @property
     def ended(self) -> bool:
         """Whether this node has nothing left to do for the request."""
-        return self.state in FINAL
+        return self.state in FINAL_STATES
--- a/packages/endive_core/src/endive_core/members.py
+++ b/packages/endive_core/src/endive_core/members.py
@@ -12,7 +12,7 @@
 is lost whole with any of its fragments."""
 
 DIGEST_HEAD_BYTES = 48
-BEAT_BYTES = 13
+HEARTBEAT_BYTES = 13
 MEMBER_BYTES = 38
 FACT_BYTES = 22
 """Upper estimates of encoded sizes, without the text; a test holds them against the
@@ -60,7 +60,7 @@
     heartbeat: int = 0
 
     @property
-    def age(self) -> tuple[int, int]:
+    def logical_time(self) -> tuple[int, int]:
         """What orders two views of the same member; the larger is the newer."""
         return (self.incarnation, self.heartbeat)
 
--- a/packages/endive_core/src/endive_core/membership.py
+++ b/packages/endive_core/src/endive_core/membership.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from endive_core.digests import NEWS_TOLD, DigestWriter, Known
+from endive_core.digests import ANNOUNCEMENTS_PER_MEMBER, DigestWriter, KnownMember
 from endive_core.facts import FactTable
 from endive_core.members import (
     Beat,
@@ -22,8 +22,8 @@
 MAX_WANTED = 20
 """Members asked for in one datagram; their entries fill the one that answers."""
 
-BEAT_S = 1.0
-BEAT_PER_MEMBER_S = 0.011
+HEARTBEAT_PERIOD_S = 1.0
+HEARTBEAT_PERIOD_PER_MEMBER_S = 0.011
 """Time between two heartbeats of one member, at least, and for each member known. Each
 heartbeat is passed on by every node a few times: at 370 members and three datagrams a
 second, faster ones would crowd each other out and all come late."""
@@ -32,15 +32,15 @@
 """How long a removed member's last heartbeat is remembered. Old news of it still goes
 round after its removal and would bring it back to life again and again."""
 
-LOST_TRIED_S = 3600.0
+REMOVED_ADDRESS_RETRY_S = 3600.0
 """How long the address of a removed member is still tried: regions lose each other for
 minutes, and find each other again by it."""
 
-HEARTBEATS_BEHIND = 30
+MAX_REORDERED_HEARTBEATS = 30
 """Heartbeats by which a node may speak too late because datagrams overtook each other;
 one that is further behind has restarted without knowing its last run's count."""
 
-STRANGER_SHARE = 0.1
+UNKNOWN_ADDRESS_SHARE = 0.1
 """Share of the datagrams that go to a seed or a lost member instead of a member."""
 
 
@@ -106,36 +106,36 @@
         now: Callable[[], float],
         random: RandomSource,
         timings: Timings | None = None,
-        round_s: float = 1 / 3,
+        tick_period_s: float = 1 / 3,
     ) -> None:
         self.me = me
         self.facts = facts
         self.now = now
         self.random = random
         self.timings = timings or Timings()
-        self.round_s = round_s
+        self.tick_period_s = tick_period_s
         self.highest_offset = -1
-        self.known: dict[str, Known] = {}
+        self.known: dict[str, KnownMember] = {}
         self.ids: dict[int, str] = {member_key(me): me.id}
         self.state_listeners: list[Callable[[], None]] = []
         self.seeds: set[str] = set()
-        self.lost: dict[str, float] = {}
+        self.removed_addresses: dict[str, float] = {}
         self.tombstones: dict[str, tuple[Member, float]] = {}
         self.wanted: dict[int, None] = {}
         self.corrections: list[Member] = []
-        self.last_tick = now()
-        self.last_beat = now()
-        self.offset_is_news = False
-        self.view: list[Member] | None = None
-        self.writer = DigestWriter(self)
+        self.last_tick_at = now()
+        self.last_heartbeat_at = now()
+        self.offset_changed = False
+        self.live_members: list[Member] | None = None
+        self.digest_writer = DigestWriter(self)
 
     # What other parts ask.
 
     def live(self) -> list[Member]:
         """Return the live members that are not suspected, ordered by id."""
-        if self.view is None:
-            self.view = self._live()
-        return self.view
+        if self.live_members is None:
+            self.live_members = self._compute_live()
+        return self.live_members
 
     def get(self, member_id: str) -> Member | None:
         """Return the member called `member_id`, whatever its state, or ``None``."""
@@ -152,17 +152,19 @@
         """Return the members that have been silent for too long."""
         return [k.member for k in self.known.values() if self.is_suspected(k)]
 
-    def is_suspected(self, known: Known) -> bool:
+    def is_suspected(self, known: KnownMember) -> bool:
         """Return whether a member has been silent for too long."""
-        return self.now() - known.heard_at > self._limit(self.timings.suspect_after_s)
+        return self.now() - known.last_heard_at > self._scaled_timeout_s(
+            self.timings.suspect_after_s
+        )
 
-    def _live(self) -> list[Member]:
+    def _compute_live(self) -> list[Member]:
         members = [m for m in self.reachable() if m.state is MemberState.LIVE]
         if self.me.state is MemberState.LIVE:
             members.append(self.me)
         return sorted(members, key=lambda m: m.id)
 
-    def _limit(self, base_s: float) -> float:
+    def _scaled_timeout_s(self, base_s: float) -> float:
         return base_s + self.timings.per_member_s * len(self.known)
 
     # What this node says of itself.
@@ -170,7 +172,7 @@
     def set_state(self, state: MemberState) -> None:
         """Change what this node says of itself."""
         self.me = replace(self.me, state=state)
-        self._beat()
+        self._increment_heartbeat()
         for listener in self.state_listeners:
             listener()
 
@@ -187,66 +189,69 @@
         if offset != self.me.configuration_offset:
             self.me = replace(self.me, configuration_offset=offset)
             self.highest_offset = max(self.highest_offset, offset)
-            self.offset_is_news = True
-            self.view = None
+            self.offset_changed = True
+            self.live_members = None
 
     # Sending.
 
     def tick(self) -> None:
         """Count the heartbeat up, and remove whoever was silent for too long."""
         now = self.now()
-        self._forgive_pause(now - self.last_tick)
-        self.last_tick = now
-        if self.offset_is_news or now - self.last_beat >= self._beat_s():
-            self._beat()
-        limit = self._limit(self.timings.remove_after_s)
+        self._exclude_own_pause(now - self.last_tick_at)
+        self.last_tick_at = now
+        if (
+            self.offset_changed
+            or now - self.last_heartbeat_at >= self._heartbeat_period_s()
+        ):
+            self._increment_heartbeat()
+        limit = self._scaled_timeout_s(self.timings.remove_after_s)
         for member_id, known in list(self.known.items()):
-            if now - known.heard_at > limit:
+            if now - known.last_heard_at > limit:
                 self._remove(member_id, known, now)
         self._forget(now)
         self.facts.expire()
-        self.view = None
+        self.live_members = None
 
-    def _beat_s(self) -> float:
-        return BEAT_S + BEAT_PER_MEMBER_S * len(self.known)
+    def _heartbeat_period_s(self) -> float:
+        return HEARTBEAT_PERIOD_S + HEARTBEAT_PERIOD_PER_MEMBER_S * len(self.known)
 
-    def _beat(self) -> None:
-        self.offset_is_news = False
+    def _increment_heartbeat(self) -> None:
+        self.offset_changed = False
         self.me = replace(self.me, heartbeat=self.me.heartbeat + 1)
-        self.last_beat = self.now()
-        self.view = None
+        self.last_heartbeat_at = self.now()
+        self.live_members = None
 
-    def _forgive_pause(self, elapsed_s: float) -> None:
+    def _exclude_own_pause(self, elapsed_s: float) -> None:
         """Leave the time in which this node itself stood still out of account.
 
         After a pause every other member seems to have been silent, though nobody was
         listening: all would be suspected at once, and the node would believe itself
         alone until the next heartbeats come.
         """
-        pause_s = elapsed_s - 2 * self.round_s
+        pause_s = elapsed_s - 2 * self.tick_period_s
         if pause_s > 0:
             for known in self.known.values():
-                known.heard_at += pause_s
+                known.last_heard_at += pause_s
 
-    def _remove(self, member_id: str, known: Known, now: float) -> None:
+    def _remove(self, member_id: str, known: KnownMember, now: float) -> None:
         del self.known[member_id]
         self.tombstones[member_id] = (known.member, now)
-        self.lost[known.member.gossip_address] = now
+        self.removed_addresses[known.member.gossip_address] = now
 
     def _forget(self, now: float) -> None:
         for member_id, (member, since) in list(self.tombstones.items()):
             if now - since > TOMBSTONE_S:
                 del self.tombstones[member_id]
                 self.ids.pop(member_key(member), None)
-        for address, since in list(self.lost.items()):
-            if now - since > LOST_TRIED_S:
-                del self.lost[address]
+        for address, since in list(self.removed_addresses.items()):
+            if now - since > REMOVED_ADDRESS_RETRY_S:
+                del self.removed_addresses[address]
 
     def receiver(self) -> str | None:
         """Return the gossip address that the next datagram goes to."""
         members = [k.member.gossip_address for k in self.known.values()]
         strangers = self.strangers()
-        if strangers and (not members or self.random.random() < STRANGER_SHARE):
+        if strangers and (not members or self.random.random() < UNKNOWN_ADDRESS_SHARE):
             return self.random.choice(strangers)
         return self.random.choice(members) if members else None
 
@@ -254,11 +259,11 @@
         """Return the gossip addresses at which a node may be that is not known here."""
         heard_of = {known.member.gossip_address for known in self.known.values()}
         heard_of.add(self.me.gossip_address)
-        return sorted((self.seeds | self.lost.keys()) - heard_of)
+        return sorted((self.seeds | self.removed_addresses.keys()) - heard_of)
 
     def digest(self, wanted: Iterable[int] = ()) -> Digest:
         """Return the content of the next datagram; see :class:`DigestWriter`."""
-        return self.writer.write(wanted)
+        return self.digest_writer.write(wanted)
 
     # Receiving.
 
@@ -269,12 +274,12 @@
         can't name, so that a new node knows all others within a few exchanges.
         """
         is_new = digest.sender.id not in self.known
-        self._correct(digest.sender)
+        self._add_correction(digest.sender)
         self._merge_member(digest.sender)
         for member in digest.members:
             self._merge_member(member)
         for beat in digest.beats:
-            self._merge_beat(beat)
+            self._merge_heartbeat(beat)
         for fact in digest.facts:
             self.facts.merge(fact)
         self.highest_offset = max(
@@ -284,7 +289,7 @@
         )
         return bool(is_new or digest.wanted or self.wanted or self.corrections)
 
-    def _correct(self, sender: Member) -> None:
+    def _add_correction(self, sender: Member) -> None:
         """Tell a restarted node how far its last run had counted.
 
         Its clock may be behind, so that its incarnation is too. Its datagrams would be
@@ -296,28 +301,31 @@
             latest = self.tombstones[sender.id][0]
         else:
             return
-        if sender.age < (latest.incarnation, latest.heartbeat - HEARTBEATS_BEHIND):
+        if sender.logical_time < (
+            latest.incarnation,
+            latest.heartbeat - MAX_REORDERED_HEARTBEATS,
+        ):
             self.corrections.append(latest)
 
     def _merge_member(self, member: Member) -> None:
         if member.id == self.me.id:
-            self._outbid(member)
+            self._supersede_previous_run(member)
             return
         known = self.known.get(member.id)
         if known is not None:
-            if member.age > known.member.age:
+            if member.logical_time > known.member.logical_time:
                 self._replace(known, member)
-        elif not self._is_buried(member.id, member.age):
+        elif not self._is_tombstoned(member.id, member.logical_time):
             self._add(member)
 
-    def _merge_beat(self, beat: Beat) -> None:
+    def _merge_heartbeat(self, beat: Beat) -> None:
         member_id = self.ids.get(beat.member)
         if member_id == self.me.id:
             return
         known = self.known.get(member_id)
         if known is None:
-            if member_id is None or not self._is_buried_run(member_id, beat):
-                self._want(beat.member)
+            if member_id is None or not self._is_tombstoned_heartbeat(member_id, beat):
+                self._request_member(beat.member)
         elif beat.heartbeat > known.member.heartbeat:
             member = replace(
                 known.member,
@@ -327,52 +335,54 @@
             )
             self._replace(known, member)
 
-    def _want(self, key: int) -> None:
+    def _request_member(self, key: int) -> None:
         if len(self.wanted) < MAX_WANTED:
             self.wanted[key] = None
 
-    def _outbid(self, former: Member) -> None:
+    def _supersede_previous_run(self, previous: Member) -> None:
         """Start a new incarnation if others know a later one of this node.
 
         A clock set back gives a restarted node a smaller incarnation than its last
         run had; nobody would believe its heartbeats until they had caught up.
         """
-        if former.age > self.me.age:
+        if previous.logical_time > self.me.logical_time:
             del self.ids[member_key(self.me)]
-            self.me = replace(self.me, incarnation=former.incarnation + 1)
+            self.me = replace(self.me, incarnation=previous.incarnation + 1)
             self.ids[member_key(self.me)] = self.me.id
 
-    def _is_buried(self, member_id: str, age: tuple[int, int]) -> bool:
+    def _is_tombstoned(self, member_id: str, logical_time: tuple[int, int]) -> bool:
         tombstone = self.tombstones.get(member_id)
-        return tombstone is not None and age <= tombstone[0].age
+        return tombstone is not None and logical_time <= tombstone[0].logical_time
 
-    def _is_buried_run(self, member_id: str, beat: Beat) -> bool:
+    def _is_tombstoned_heartbeat(self, member_id: str, beat: Beat) -> bool:
         tombstone = self.tombstones.get(member_id)
         return tombstone is not None and beat.heartbeat <= tombstone[0].heartbeat
 
     def _add(self, member: Member) -> None:
         key = member_key(member)
-        former = self.tombstones.pop(member.id, None)
-        if former is not None:
-            self.ids.pop(member_key(former[0]), None)
-        self.lost.pop(member.gossip_address, None)
+        previous = self.tombstones.pop(member.id, None)
+        if previous is not None:
+            self.ids.pop(member_key(previous[0]), None)
+        self.removed_addresses.pop(member.gossip_address, None)
         self.wanted.pop(key, None)
         self.ids[key] = member.id
-        known = Known(member, self.now(), news_left=NEWS_TOLD)
+        known = KnownMember(
+            member, self.now(), announcements_left=ANNOUNCEMENTS_PER_MEMBER
+        )
         self.known[member.id] = known
-        self.view = None
+        self.live_members = None
 
-    def _replace(self, known: Known, member: Member) -> None:
+    def _replace(self, known: KnownMember, member: Member) -> None:
         before = known.member
         if before.incarnation != member.incarnation:
             self.ids.pop(member_key(before), None)
             self.ids[member_key(member)] = member.id
-            known.news_left = NEWS_TOLD
-            self.view = None
+            known.announcements_left = ANNOUNCEMENTS_PER_MEMBER
+            self.live_members = None
         if before.state is not member.state:
-            self.view = None
+            self.live_members = None
         if before.configuration_offset != member.configuration_offset:
-            self.view = None
+            self.live_members = None
         known.member = member
-        known.heard_at = self.now()
-        known.times_told = 0
+        known.last_heard_at = self.now()
+        known.times_sent = 0
--- a/packages/endive_core/tests/test_facts.py
+++ b/packages/endive_core/tests/test_facts.py
@@ -1,7 +1,7 @@
 from endive_core.facts import MAX_FACTS, Fact, FactKind, FactTable
 
 
-class Time:
+class FakeClock:
     def __init__(self):
         self.seconds = 0.0
 
@@ -10,7 +10,7 @@
 
 
 def make_table():
-    time = Time()
+    time = FakeClock()
     return FactTable(time.now), time
 
 
--- a/packages/endive_core/tests/test_freshness.py
+++ b/packages/endive_core/tests/test_freshness.py
@@ -2,10 +2,14 @@
 import random
 
 import pytest
-from endive_core.freshness import AT_LIMIT, LIMIT_PART, Freshness
+from endive_core.freshness import (
+    LATEST_CHECK_FRACTION,
+    MAX_CONCURRENT_CHECKS,
+    Freshness,
+)
 
 BOUND_S = 2.0
-AT_ONCE = 10
+PEERS_PER_ROUND = 10
 
 
 def test_a_copy_is_as_new_as_its_newest_proof():
@@ -19,10 +23,10 @@
 def test_the_first_node_asks_first_and_each_of_a_few_within_the_limit():
     freshness = Freshness(BOUND_S, started_at=0.0)
     freshness.prove(10.0)
-    due = [freshness.due_at(rank) for rank in range(AT_LIMIT + 1)]
+    due = [freshness.due_at(rank) for rank in range(MAX_CONCURRENT_CHECKS + 1)]
     assert due == sorted(due)
     assert due[0] < due[1]
-    assert max(due) <= 10.0 + LIMIT_PART * BOUND_S < 10.0 + BOUND_S
+    assert max(due) <= 10.0 + LATEST_CHECK_FRACTION * BOUND_S < 10.0 + BOUND_S
 
 
 def test_a_copy_without_a_proof_is_asked_for_after_the_start():
@@ -30,58 +34,58 @@
     assert 10.0 < freshness.due_at(0) <= freshness.due_at(9) < 10.0 + BOUND_S
 
 
-def asks_a_second(nodes, round_s, duration_s=30.0):
+def checks_per_second(nodes, round_s, duration_s=30.0):
     """Return how often any of `nodes` asks, each telling ten others at a time.
 
     `round_s` is the time in which a node tells all others. What a node hears it passes
     on with its next telling.
     """
-    chance = random.Random(1)
-    kept = [Freshness(BOUND_S, started_at=0.0) for _ in range(nodes)]
-    others = [chance.sample(range(nodes), nodes) for _ in range(nodes)]
-    step_s = round_s / max(1, -(-nodes // AT_ONCE))
-    coming = [(chance.uniform(0, round_s), "tell", node, 0) for node in range(nodes)]
-    coming += [(kept[node].due_at(node), "ask", node, 0) for node in range(nodes)]
-    heapq.heapify(coming)
-    asked = 0
-    while coming[0][0] < duration_s:
-        now, act, node, first = heapq.heappop(coming)
-        own = kept[node]
-        if act == "ask":
+    rng = random.Random(1)
+    copies = [Freshness(BOUND_S, started_at=0.0) for _ in range(nodes)]
+    others = [rng.sample(range(nodes), nodes) for _ in range(nodes)]
+    step_s = round_s / max(1, -(-nodes // PEERS_PER_ROUND))
+    events = [(rng.uniform(0, round_s), "tell", node, 0) for node in range(nodes)]
+    events += [(copies[node].due_at(node), "ask", node, 0) for node in range(nodes)]
+    heapq.heapify(events)
+    checks = 0
+    while events[0][0] < duration_s:
+        now, action, node, first = heapq.heappop(events)
+        own = copies[node]
+        if action == "ask":
             if now >= own.due_at(node):
-                asked += 1
+                checks += 1
                 own.prove(now)
-            heapq.heappush(coming, (own.due_at(node), "ask", node, 0))
+            heapq.heappush(events, (own.due_at(node), "ask", node, 0))
             continue
         if own.proven_at is not None:
-            for other in others[node][first : first + AT_ONCE]:
-                kept[other].prove(own.proven_at)
-        first = first + AT_ONCE if first + AT_ONCE < nodes else 0
-        heapq.heappush(coming, (now + step_s, "tell", node, first))
-    return asked / duration_s
+            for other in others[node][first : first + PEERS_PER_ROUND]:
+                copies[other].prove(own.proven_at)
+        first = first + PEERS_PER_ROUND if first + PEERS_PER_ROUND < nodes else 0
+        heapq.heappush(events, (now + step_s, "tell", node, first))
+    return checks / duration_s
 
 
 @pytest.mark.parametrize(("nodes", "round_s"), [(8, 0.2), (100, 1.0), (370, 3.7)])
 def test_many_nodes_ask_hardly_more_often_than_one(nodes, round_s):
     """A read of each node for itself would grow with the fleet."""
-    assert asks_a_second(nodes, round_s) <= 1.1 * asks_a_second(1, round_s)
+    assert checks_per_second(nodes, round_s) <= 1.1 * checks_per_second(1, round_s)
 
 
 @pytest.mark.parametrize("nodes", [8, 100, 370])
 def test_a_fleet_without_answers_asks_at_a_rate_that_does_not_grow(nodes):
     """Each node's own retries would keep a store down that is coming back."""
     due = [Freshness(BOUND_S, started_at=0.0).due_at(rank) for rank in range(nodes)]
-    asked = []
+    checks = []
     for at in due:
         while at < 30.0:
-            asked.append(at)
+            checks.append(at)
             at += max(0.5, Freshness(BOUND_S, started_at=0.0).turns_s(nodes))
-    in_seconds = [sum(s <= at < s + 1 for at in asked) for s in range(30)]
-    assert max(in_seconds) <= 2 * AT_LIMIT
+    in_seconds = [sum(s <= at < s + 1 for at in checks) for s in range(30)]
+    assert max(in_seconds) <= 2 * MAX_CONCURRENT_CHECKS
 
 
 def test_if_the_first_can_not_read_the_others_take_their_turn_before_the_bound():
     """The nodes that read for a hundred are all turned away by the store."""
     due = [Freshness(BOUND_S, started_at=0.0).due_at(rank) for rank in range(100)]
     assert min(due[10:]) < BOUND_S / 2 + 0.25 * BOUND_S
-    assert due[AT_LIMIT + 10] < BOUND_S
+    assert due[MAX_CONCURRENT_CHECKS + 10] < BOUND_S
--- a/packages/endive_core/tests/test_lifecycle.py
+++ b/packages/endive_core/tests/test_lifecycle.py
@@ -4,7 +4,7 @@
 from endive_core.charts import IllegalEventError, load_chart
 from endive_core.exceptions import Executed
 from endive_core.lifecycle import (
-    FINAL,
+    FINAL_STATES,
     TABLE,
     Event,
     Flags,
@@ -53,7 +53,7 @@
     start = Flags(*values)
     for (state, flags), path in walk(start).items():
         assert step_sismic(path, start) == (state, flags)
-        if state in FINAL:
+        if state in FINAL_STATES:
             continue
         for event in Event:
             expected = TABLE.get((flags, state, event), (state, flags))
