--- a/packages/endive_core/src/endive_core/digests.py
+++ b/packages/endive_core/src/endive_core/digests.py
@@ -102,12 +102,14 @@
             Keys of the members that the receiver asked for.
         """
         self.datagram_number += 1
-        source = self.source
-        digest = Digest(source.me, source.highest_offset, wanted=list(source.wanted))
-        digest.members.extend(source.corrections)
-        source.wanted.clear()
-        source.corrections.clear()
-        room = DATAGRAM_BYTES - DIGEST_HEAD_BYTES - member_size(source.me)
+        membership = self.source
+        digest = Digest(
+            membership.me, membership.highest_offset, wanted=list(membership.wanted)
+        )
+        digest.members.extend(membership.corrections)
+        membership.wanted.clear()
+        membership.corrections.clear()
+        room = DATAGRAM_BYTES - DIGEST_HEAD_BYTES - member_size(membership.me)
         room -= 6 * len(digest.wanted) + sum(map(member_size, digest.members))
         room -= self._add_facts(digest, min(room, MAX_FACTS_BYTES))
         room -= self._add_members(digest, wanted, room)
