--- a/packages/endive_core/src/endive_core/charts/__init__.py
+++ b/packages/endive_core/src/endive_core/charts/__init__.py
@@ -1,10 +1,10 @@
-"""State charts in files, and the compiler that turns them into tables.
+"""Loads state charts from files and compiles them into transition tables.
 
-The files are in the form that `sismic` reads. Importing that library costs a node 9 MB
-and each of its steps 79 us, so a chart is compiled here, once, into a table from
-(flags, state, event) to the next state and flags; a test steps `sismic` and the table
-through a whole chart and compares them. The model check under ``spec`` reads the same
-tables.
+The files are in the format of `sismic`. Importing that library would cost a node 9 MB
+of memory and each of its steps takes 79 us, so a chart is compiled here, once, into a
+table from (flags, state, event) to the next state and flags. A test steps `sismic` and
+the table through a whole chart and compares them. The model checker under ``spec``
+uses the same tables.
 """
 
 from collections.abc import Iterator
@@ -15,15 +15,15 @@
 import msgspec
 
 TransitionTable = dict[tuple[Any, str, str], tuple[str, Any]]
-"""From flags, state and event to the next state and flags."""
+"""Maps (flags, state, event) to the next state and flags."""
 
 
 class IllegalEventError(Exception):
-    """Raised for an event that a chart does not allow in the present state."""
+    """Raised for an event that a chart does not allow in the current state."""
 
 
 def load_chart(name: str) -> dict[str, Any]:
-    """Return the content of the chart file `name`, in the form of `sismic`."""
+    """Return the content of the chart file `name`, in the format of `sismic`."""
     text = resources.files(__name__).joinpath(f"{name}.json").read_bytes()
     return msgspec.json.decode(text)
 
@@ -31,14 +31,15 @@
 def compile_chart(chart: dict[str, Any], all_flags: list[Any]) -> TransitionTable:
     """Return the table of every transition in `chart`.
 
-    A state's own transitions go before those of the states around it.
+    A state's own transitions take precedence over those of its enclosing states. A
+    transition whose guard is false for the given flags is left out.
 
     Parameters
     ----------
     chart : dict
-        As :func:`load_chart` returns it.
+        A chart as returned by :func:`load_chart`.
     all_flags : list of dataclass
-        Every value of the flags that the guards read.
+        Every combination of the flags that the guards read.
     """
     root = chart["statechart"]["root state"]
     on_entry = {s["name"]: s["on entry"] for s in _states(root) if "on entry" in s}
--- a/packages/endive_core/src/endive_core/claims.py
+++ b/packages/endive_core/src/endive_core/claims.py
@@ -1,14 +1,16 @@
-"""Claims of the right to run a non-idempotent request, folded from a shard's stream.
-
-The harm this prevents: two nodes send the same court confirmation, because its caller
-sent it again while the first node was paused or its answer was lost. Only the node
-whose claim comes first in the log may send, and nobody ever takes a claim over, so
-neither clocks nor leases matter.
-
-Why it holds: of two claims of one key that were not released and whose records are
-less than the window apart, the later one's fold holds the earlier one, so the later
-one loses. That needs of a fold only that it holds every record of the window before
-the claim it decides; two folds need not remember equally much.
+"""Claims of the exclusive right to run a non-idempotent request.
+
+Without them two nodes can send the same request to a backend server: the caller
+repeats it while the first node is paused, or after the first node's answer was lost.
+A node appends a claim of the request's key to a log stream before it sends the
+request, and only the node whose claim comes first in the log may send. A claim is
+never taken over by another node, so correctness depends on neither clocks nor leases.
+
+Claims are decided by folding the records of one shard's stream in order. Take two
+unreleased claims of one key whose records are less than the window apart: the fold
+that decides the later claim contains the earlier one, so the later claim loses. For
+this a fold only has to contain every record of the window before the claim that it
+decides; two folds need not keep records for equally long.
 """
 
 from collections import OrderedDict
@@ -20,22 +22,23 @@
 from endive_core.records import Claim, Release
 
 SHARDS = 32
-"""Streams of claims. A key must fall in the same stream on every node, so this is no
-setting. 32 writers sharing 320 appends a second append every 0.1 s each, and a stream
-of an eighth of 27,000 requests a second brings its writer about 100 claims a second."""
+"""Number of log streams that claims are sharded over. A key must map to the same stream
+on every node, so this is a constant and not a setting. With 320 appends per second
+shared by 32 writers, each writer appends every 0.1 s. If an eighth of 27,000 requests
+per second need a claim, each writer handles about 100 claims per second."""
 
 WINDOW_S = 3600.0
-"""How long a claim holds its key, in seconds, where the settings don't say. Bounded by
-a writer's memory: every claim within the window costs it less than a kilobyte."""
+"""Default time for which a claim holds its key, in seconds. A writer's memory limits
+it: every claim within the window takes less than a kilobyte there."""
 
 
 def claim_shard(key: str) -> int:
-    """Return the shard whose stream orders the claims of `key`."""
+    """Return the shard whose stream contains the claims of `key`."""
     return shard_of(key, SHARDS)
 
 
 class ClaimVerdict(StrEnum):
-    """How the log's order decided a claim."""
+    """The decision on a claim, which follows from its position in the log."""
 
     WON = "won"
     LOST = "lost"
@@ -44,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimOutcome:
-    """The decision on one claim, and the claim that was in its way.
+    """The decision on one claim, and the claim that it lost to.
 
     Attributes
     ----------
     holder : Claim or None
-        For a lost claim the earliest unreleased claim of the key, else ``None``.
+        For a lost claim, the earliest unreleased claim of the key; otherwise ``None``.
     """
 
     claim_id: str
@@ -69,19 +72,19 @@
 
 
 class ClaimTable:
-    """Every claim of one shard within the window, and how each was decided.
+    """All claims of one shard within the window, and the decision on each.
 
-    A claim wins exactly if the window before it holds no other unreleased claim of its
-    key and no release of its own. A claim that lost stands in the way of later ones
-    too, until its owner releases it: otherwise two tables of which one remembers a
-    holder that the other forgot could let two claims win. The decision never changes
-    afterwards, so whoever reads it back may act on it however late.
+    A claim wins if and only if the window before it contains no other unreleased claim
+    of its key and no release of the claim itself. A lost claim also blocks later
+    claims until its owner releases it. Otherwise two claims could win: one in a table
+    that still contains the first holder, the other in a table that has already expired
+    it. A decision never changes, so a reader may act on it at any later time.
 
     Parameters
     ----------
     window_s : float
-        Seconds of the log's own time that a claim holds its key; must be below the
-        time for which the log keeps records.
+        Time for which a claim holds its key, in seconds of the log's own clock; must
+        be shorter than the time for which the log keeps records.
 
     Attributes
     ----------
@@ -99,14 +102,14 @@
     def apply(
         self, offset: int, time: float, record: Claim | Release
     ) -> ClaimOutcome | None:
-        """Fold one record; return the outcome if it is a claim.
+        """Fold one record; return the outcome if the record is a claim.
 
         Parameters
         ----------
         offset : int
-            Records at or below :attr:`offset` are ignored.
+            Offset of the record; records at or below :attr:`offset` are ignored.
         time : float
-            When the log took the record, in seconds by the log's own clock.
+            When the log accepted the record, in seconds of the log's own clock.
         """
         if offset <= self.offset:
             return None
@@ -118,7 +121,7 @@
         return self._decide(time, record)
 
     def outcome(self, claim_id: str) -> ClaimOutcome | None:
-        """Return how a claim was decided, or ``None`` if the table holds none."""
+        """Return the decision on a claim, or ``None`` if the claim is unknown."""
         entry = self.entries.get(claim_id)
         return entry.outcome() if entry else None
 
@@ -151,8 +154,8 @@
             self.live.pop(key, None)
 
     def _expire(self, before: float) -> None:
-        # Without this a writer's memory grows with every claim ever made, and a node
-        # that has run for days would refuse keys that a fresh one accepts.
+        # Without expiry a writer's memory grows with every claim ever made, and a node
+        # that has run for days refuses keys that a newly started node accepts.
         while self.entries:
             entry = next(iter(self.entries.values()))
             if entry.time >= before:
@@ -164,7 +167,7 @@
 
 
 class ClaimState(StrEnum):
-    """Where a claim is at the node that made it."""
+    """State of a claim on the node that made it."""
 
     PENDING = "pending"
     HELD = "held"
@@ -173,7 +176,7 @@
 
 
 class ClaimEvent(StrEnum):
-    """What can happen to a claim at the node that made it."""
+    """Event in the life of a claim on the node that made it."""
 
     WON = "won"
     LOST = "lost"
@@ -184,25 +187,26 @@
 
 @dataclass(frozen=True)
 class NoFlags:
-    """The claim's chart has no guards."""
+    """The flags of a claim: none, since its chart has no guards."""
 
 
 CLAIM_TABLE = compile_chart(load_chart("claim"), [NoFlags()])
 
 
 class Claimant:
-    """One request's claim of its key, at the node that may send the request.
+    """The state machine of one request's claim, on the node that made the claim.
 
-    The order of its steps is what keeps "not run" true: a node first takes the step to
-    ``withdrawn``, after which :meth:`use` fails, and only then may write the release
-    that this step returned. Each attempt at a key makes a new claim with a new id.
+    A node that tells a caller "not run" must never send the request afterwards. So it
+    first changes the state to ``withdrawn``, after which :meth:`use` fails, and only
+    then appends the release that :meth:`withdraw` returned. Each attempt at a key
+    makes a new claim with a new id.
 
     Attributes
     ----------
     claim : Claim
-        The record to append; appending it twice does no harm.
+        The record to append; appending it twice is harmless.
     holder : Claim or None
-        Once lost, the claim that was in the way.
+        Once the claim is lost, the claim that it lost to.
     """
 
     __slots__ = ("claim", "holder", "state")
@@ -213,9 +217,9 @@
         self.holder: Claim | None = None
 
     def settle(self, outcome: ClaimOutcome) -> Release | None:
-        """Take the log's decision; return a record to append if the claim lost.
+        """Apply the log's decision; return a release to append if the claim lost.
 
-        A decision that comes after the claim was withdrawn changes nothing.
+        A decision that arrives after the claim was withdrawn has no effect.
         """
         if self.state is not ClaimState.PENDING:
             return None
@@ -227,21 +231,21 @@
         return self._release()
 
     def use(self) -> None:
-        """Note that the request is about to be sent under this claim.
+        """Record that the request is about to be sent under this claim.
 
         Raises
         ------
         IllegalEventError
-            Unless the claim is held: nothing may be sent then.
+            If the claim is not held; the request must not be sent then.
         """
         self._fire(ClaimEvent.USE)
 
     def not_started(self) -> None:
-        """Note that the server certainly did not start what was sent."""
+        """Record that the server has certainly not started the request."""
         self._fire(ClaimEvent.NOT_STARTED)
 
     def withdraw(self) -> Release:
-        """Give the claim up for good and return the record to append.
+        """Withdraw the claim for good and return the release to append.
 
         Raises
         ------
@@ -257,5 +261,7 @@
     def _fire(self, event: ClaimEvent) -> None:
         step = CLAIM_TABLE.get((NoFlags(), self.state, event))
         if step is None:
-            raise IllegalEventError(f"{event} in {self.state}")
+            raise IllegalEventError(
+                f"event {event} not allowed in claim state {self.state}"
+            )
         self.state = ClaimState(step[0])
--- a/packages/endive_core/src/endive_core/lifecycle.py
+++ b/packages/endive_core/src/endive_core/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request, interpreted from the chart ``charts/request.json``."""
+"""The state machine of a request, compiled from ``charts/request.json``."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class State(StrEnum):
-    """Where a request is on this node."""
+    """State of a request on this node."""
 
     ACCEPTED = "accepted"
     QUEUED = "queued"
@@ -27,14 +27,15 @@
 
 
 class Event(StrEnum):
-    """What can happen to a request.
-
-    ``not_started`` is a server's own word, or a connection that was never made: the
-    attempt certainly did not run. ``server_stopped`` is a server's word that it makes
-    no further token. ``server_lost`` is neither, and so does not exist for a
-    non-idempotent request, which then can only ``fail``. ``offer`` is a record of the
-    request on its way to another node, which may run it from then on, so that nobody
-    may be told "not run". ``unclaim`` is a claim that was withdrawn.
+    """Event in the life of a request.
+
+    ``not_started``: the server reported that it did not start the attempt, or the
+    connection was never made; the attempt certainly did not run. ``server_stopped``:
+    the server confirmed that it generates no further token. ``server_lost``: neither
+    is known; this is not allowed for a non-idempotent request, which can only ``fail``
+    then. ``offer``: a record of the request is on its way to another node, which may
+    run it from now on, so the caller must not be told "not run". ``unclaim``: the
+    request's claim was withdrawn.
     """
 
     ENQUEUE = "enqueue"
@@ -65,15 +66,15 @@
 
 @dataclass(frozen=True)
 class Flags:
-    """The data that the chart's guards read.
+    """The flags that the chart's guards read.
 
     Attributes
     ----------
     non_idempotent : bool
         The request may run at most once.
     sent_before : bool
-        A server may have run the request before the present attempt, here or at
-        another node that handed it over or was offered it.
+        A server may have run the request before the current attempt, sent by this
+        node or by another node that handed the request over or was offered it.
     """
 
     non_idempotent: bool = False
@@ -87,16 +88,17 @@
 
 
 class Lifecycle:
-    """The state of one request on one node.
+    """The state machine of one request on one node.
 
-    Callers see it as the ``executed`` field of an error. Everything that sends,
-    refuses or hands over a request fires the event first, so a step that the chart
-    does not allow, such as refusing as not run after a dispatch, fails at once.
+    The state determines the ``executed`` field of an error that a caller receives.
+    Code that sends, refuses or hands over a request fires the event first, so a step
+    that the chart does not allow, such as refusing a request as not run after it was
+    dispatched, raises at once.
 
     Attributes
     ----------
     history : list of Event
-        Every event so far; a few per request, none per token. Tests replay it against
+        All events so far: a few per request, none per token. Tests replay it against
         the specification.
     """
 
@@ -108,27 +110,30 @@
         self.history: list[Event] = []
 
     def allows(self, event: Event) -> bool:
-        """Return whether the chart allows `event` now."""
+        """Return whether the chart allows `event` in the current state."""
         return (self.flags, self.state, event) in TABLE
 
     def fire(self, event: Event) -> State:
-        """Take the transition of `event` and return the new state.
+        """Make the transition for `event` and return the new state.
 
         Raises
         ------
         IllegalEventError
-            If the chart does not allow it; nothing has changed then.
+            If the chart does not allow the event; the state is unchanged then.
         """
         step = TABLE.get((self.flags, self.state, event))
         if step is None:
-            raise IllegalEventError(f"{event} in {self.state} of {self.flags}")
+            raise IllegalEventError(
+                f"event {event} not allowed in request state {self.state} "
+                f"with {self.flags}"
+            )
         self.state, self.flags = State(step[0]), step[1]
         self.history.append(event)
         return self.state
 
     @property
     def executed(self) -> Executed:
-        """Whether a server ran the request, as an error may tell it now."""
+        """Whether a server ran the request, as far as an error may claim now."""
         if self.state is State.FINISHED:
             return Executed.YES
         if self.state is State.REFUSED:
@@ -139,5 +144,5 @@
 
     @property
     def ended(self) -> bool:
-        """Whether this node has nothing left to do for the request."""
+        """Whether the request is in a final state on this node."""
         return self.state in FINAL_STATES
--- a/packages/endive_core/src/endive_core/records.py
+++ b/packages/endive_core/src/endive_core/records.py
@@ -1,8 +1,8 @@
 """Typed records of the platform's log, and their codec.
 
-A record is one JSON object with a ``type`` tag. Unknown types are kept out of the
-folds (:class:`endive_core.exceptions.RecordError`), so that an older node meets a
-newer record without guessing.
+A record is one JSON object with a ``type`` tag. Decoding an unknown type raises
+:class:`endive_core.exceptions.RecordError`, so that an older node never folds a record
+of a newer version that it cannot interpret.
 """
 
 from typing import Any
@@ -13,15 +13,15 @@
 
 CONFIGURATION_STREAM = "configuration"
 SNAPSHOT_STREAM = "configuration-snapshots"
-"""Snapshots have a stream of their own: a node that follows the changes never reads
-them, and a new node reads only the last one."""
+"""Stream of the snapshots. It is separate from the changes, since a node that follows
+the changes never reads snapshots, and a new node reads only the latest one."""
 
 ALL_ORGANISATIONS = "*"
 CLAIM_STREAM = "claims-{shard:03d}"
 
 
 def claim_stream(shard: int) -> str:
-    """Return the name of the stream that orders the claims of `shard`."""
+    """Return the name of the stream that contains the claims of `shard`."""
     return CLAIM_STREAM.format(shard=shard)
 
 
@@ -31,21 +31,22 @@
     Attributes
     ----------
     change_id : str
-        Chosen by the writer; a second record with the same id is a no-op, so that an
-        append whose answer was lost can simply be repeated.
+        Chosen by the writer; a second record with the same id has no effect, so that
+        an append whose answer was lost can simply be repeated.
     expected_version : int or None
-        The version the operator saw; -1 for "must not exist"; ``None`` for any.
+        The version the operator has seen; -1 for "must not exist"; ``None`` for any.
     body : dict or None
         The whole resource, or ``None`` to delete it.
     scope : str
         The organisation whose resources the operator may change, or ``*``. The fold
-        holds it against the owner in force, since the writer's own view lags.
+        compares it with the owner in force, since the writer's own state may lag.
     basis : int or None
-        Offset that the writer had folded. A copy of the append that arrives after its
-        change id was forgotten is refused by it; see :mod:`endive_core.fold`.
+        Highest offset that the writer had folded. A copy of the append that arrives
+        after its change id was evicted is refused because its basis is too old; see
+        :mod:`endive_core.fold`.
     at : float
-        When the writer sent it, seconds since 1970 by its own clock; shown to people,
-        and never decided by.
+        When the writer sent the change, in seconds since 1970 by the writer's clock;
+        for display only, no decision depends on it.
     """
 
     change_id: str
@@ -60,7 +61,7 @@
 
 
 class Snapshot(msgspec.Struct, tag="snapshot", frozen=True):
-    """The whole fold of the configuration stream up to and including `through`."""
+    """The state of the configuration stream up to and including `through`."""
 
     through: int
     resources: list[dict[str, Any]]
@@ -68,13 +69,13 @@
 
 
 class SnapshotTaken(msgspec.Struct, tag="snapshot_taken", frozen=True):
-    """Tells followers of the changes that a snapshot up to `through` is in the log."""
+    """Marks in the stream of changes that a snapshot up to `through` was written."""
 
     through: int
 
 
 class Claim(msgspec.Struct, tag="claim", frozen=True):
-    """A node's claim of the only right to send a request with `key`."""
+    """A node's claim of the exclusive right to send a request with `key`."""
 
     claim_id: str
     key: str
@@ -84,14 +85,14 @@
 
 
 class Release(msgspec.Struct, tag="release", frozen=True):
-    """Voids a claim whose holder gave up before sending anything."""
+    """Releases a claim under which no server has started the request."""
 
     claim_id: str
     key: str
 
 
 class Lease(msgspec.Struct, tag="lease", frozen=True):
-    """The right to order one deployment's capacity; its offset is the fence."""
+    """The right to order one deployment's capacity; its offset is the fencing token."""
 
     deployment: str
     holder: str
--- a/packages/endive_core/tests/test_claims.py
+++ b/packages/endive_core/tests/test_claims.py
@@ -19,27 +19,28 @@
 
 
 def test_first_claim_in_the_log_wins():
-    """A caller sent one key to two nodes at once; exactly one of them may run it."""
+    """A caller sends one key to two nodes at once; exactly one of them may run it."""
     table, verdicts = fold((0, claim("a")), (0, claim("b")))
     assert verdicts == [WON, LOST]
     assert table.outcome("b").holder == claim("a")
 
 
-def test_release_frees_the_key_for_the_next_try():
+def test_release_frees_the_key_for_the_next_attempt():
     _, verdicts = fold((0, claim("a")), (1, Release("a", "court-7")), (2, claim("b")))
     assert verdicts == [WON, WON]
 
 
 def test_claim_that_lands_after_its_release_is_void():
-    """An append answered 504 and took effect later, when its node had long given up;
-    were it to hold the key, the caller's next try would be refused for nothing."""
+    """An append of a claim is answered 504 and takes effect later, after its node has
+    released the claim. If it held the key, the caller's next attempt would be refused
+    although nothing was run."""
     _, verdicts = fold((0, Release("a", "court-7")), (1, claim("a")), (2, claim("b")))
     assert verdicts == [VOID, WON]
 
 
 def test_repeated_append_of_a_released_claim_stays_decided():
-    """The answer of an append was lost, its node appended the claim again, and the
-    second copy landed after the release."""
+    """The answer to an append is lost and the node appends the claim again; the second
+    copy reaches the log after the release."""
     _, verdicts = fold(
         (0, claim("a")),
         (1, Release("a", "court-7")),
@@ -50,8 +51,8 @@
 
 
 def test_lost_claim_blocks_until_released():
-    """A table that forgot the holder must not let a second claim win while a table
-    that still knows it lets a third one win."""
+    """One table has expired the first holder and another still contains it. They must
+    not let two different later claims win."""
     _, verdicts = fold((0, claim("a")), (60, claim("b")), (110, claim("c")))
     assert verdicts == [WON, LOST, LOST]
 
@@ -67,8 +68,9 @@
 
 
 def test_claim_withdrawn_before_the_decision_is_never_used():
-    """A node tells its caller "not run" when the log is slow, and then the claim
-    wins; were it used, the caller's next try would run the request twice."""
+    """The log is slow, the node answers "not run" to its caller, and then the claim
+    wins. If the claim were used, the caller's next attempt would run the request a
+    second time."""
     claimant = Claimant(claim("a"))
     assert claimant.withdraw() == Release("a", "court-7")
     table, _ = fold((0, claim("a")))
@@ -89,8 +91,8 @@
 
 
 def test_second_copy_of_a_release_changes_nothing():
-    """A slow writer made a node send its release to another one too. The second copy
-    comes after the key's next claim has won, and must not take that one's key away."""
+    """A node sends its release to a second writer because the first is slow. The second
+    copy arrives after the key's next claim has won, and must not release that claim."""
     release = Release("a", "court-7")
     records = [(0, claim("a")), (1, release), (2, claim("b")), (3, release)]
     _, verdicts = fold(*records, (4, claim("c")))
--- a/packages/endive_core/tests/test_lifecycle.py
+++ b/packages/endive_core/tests/test_lifecycle.py
@@ -61,8 +61,8 @@
 
 
 def test_refusal_as_not_run_is_impossible_after_dispatch():
-    """A node gives up on a request after sending it and would tell the caller that
-    it was not run; the caller would then send the same confirmation again."""
+    """A node gives up on a request after sending it. If it answered "not run", the
+    caller would send the same request again and it could run twice."""
     life = Lifecycle(non_idempotent=True)
     for event in (Event.CLAIM, Event.WON, Event.DISPATCH):
         life.fire(event)
