--- a/packages/endive_core/src/endive_core/digests.py
+++ b/packages/endive_core/src/endive_core/digests.py
@@ -1,7 +1,8 @@
-"""What the next datagram to another member says: heartbeats, news, facts.
+"""Selects the content of gossip datagrams: member entries, heartbeats and facts.
 
-One datagram holds only some of what a node knows of a large fleet. Entries that the
-receiver asked for go first, then news, then whoever was not mentioned for longest.
+With many members one datagram has room for only a part of what a node knows. Facts
+come first, up to a limit, then the entries that the receiver asked for, then the
+entries of new members, then the heartbeats that were sent least often or longest ago.
 """
 
 import math
@@ -23,32 +24,34 @@
 )
 
 MAX_FACTS_BYTES = 500
-"""Room for facts in a datagram, so that many facts can't push the heartbeats out."""
+"""Maximum bytes of facts in a datagram, without which they displace the heartbeats."""
 
 ANNOUNCEMENT_SHARE = 0.4
 ANNOUNCEMENTS_PER_MEMBER = 3
-"""Room for entries of new members, and datagrams that carry each. After a restart of
-the whole fleet everybody is new; without the limit their entries push the heartbeats
-out for a minute, and live members are suspected. Who misses an entry asks for it."""
+"""Share of a datagram's room for entries of new members, and number of datagrams that
+announce each new member. After a restart of all nodes every member is new; without
+the limit their entries displace the heartbeats for a minute, and live members are
+suspected. A node that misses an entry asks for it."""
 
 HEARTBEAT_SENDS = 3
-"""Datagrams that carry a heartbeat before those told less often go first again."""
+"""Number of datagrams for which a new heartbeat takes precedence, the least often sent
+first. After that heartbeats are ordered only by how long ago they were sent."""
 
 
 @dataclass
 class KnownMember:
-    """A member as this node keeps it.
+    """A member as this node knows it.
 
     Attributes
     ----------
     heard_at : float
-        When its heartbeat last grew, on this node's clock.
+        When its heartbeat last increased, in seconds on this node's clock.
     told : int
-        Turn at which it was last put into a datagram.
+        Number of the last datagram that contained the member.
     times_told : int
-        Datagrams that carried its latest heartbeat.
+        Number of datagrams that contained its latest heartbeat.
     news_left : int
-        Datagrams that still carry its whole entry first.
+        Number of datagrams that are still to announce its whole entry.
     """
 
     member: Member
@@ -59,16 +62,16 @@
 
 
 class DigestSource(Protocol):
-    """What a datagram is written from.
+    """The state from which datagrams are written; implemented by `Membership`.
 
     Attributes
     ----------
     ids : dict of int to str
         Members' ids by key.
     wanted : dict of int to None
-        Keys of members to ask for.
+        Keys of members whose entries are to be requested.
     corrections : list of Member
-        Newer entries of members that told older ones.
+        Newer entries of members that have sent an older entry of themselves.
     """
 
     me: Member
@@ -81,7 +84,7 @@
 
 
 class DigestWriter:
-    """Writes one datagram after the other, and remembers what was told when."""
+    """Writes datagrams, and keeps track of what was sent in which of them."""
 
     def __init__(self, source: DigestSource) -> None:
         self.source = source
@@ -91,15 +94,12 @@
         source.facts.listeners.append(self._note_fact)
 
     def write(self, wanted: Iterable[int] = ()) -> Digest:
-        """Return the content of the next datagram.
-
-        Entries the receiver asked for go first, then news, then whoever was not
-        mentioned for longest, as far as one datagram holds them.
+        """Return the content of the next datagram, as much as fits.
 
         Parameters
         ----------
         wanted : iterable of int
-            Keys of the members that the receiver asked for.
+            Keys of the members whose entries the receiver asked for.
         """
         self.datagram_number += 1
         membership = self.source
@@ -180,7 +180,11 @@
         return self.source.known[member_id].last_sent
 
     def _fact_repeats(self) -> int:
-        """Return how often news is repeated: enough to reach all with few misses."""
+        """Return the number of datagrams in which a new fact takes precedence.
+
+        The number grows with the logarithm of the number of members, so that gossip
+        reaches nearly all of them.
+        """
         return 2 * math.ceil(math.log2(len(self.source.known) + 2)) + 2
 
     def _note_fact(self, fact: Fact) -> None:
@@ -189,5 +193,5 @@
 
 
 def _heartbeat_order(known: KnownMember) -> tuple[int, int]:
-    """Order heartbeats: those told least often, then those not told for longest."""
+    """Order heartbeats: those sent least often first, then those sent longest ago."""
     return (min(known.times_sent, HEARTBEAT_SENDS), known.last_sent)
--- a/packages/endive_core/src/endive_core/facts.py
+++ b/packages/endive_core/src/endive_core/facts.py
@@ -1,8 +1,8 @@
-"""Short-lived facts that all nodes should soon know, spread with the heartbeats.
+"""Short-lived facts that are spread to all nodes by gossip.
 
-A fact only ever grows: its value and its end are merged by the larger one, so that
-datagrams may be lost, repeated or arrive in any order. Nothing here has to be right:
-a node that has not heard of a fact yet acts as it would have a second earlier.
+Two copies of a fact are merged by taking the larger value and the later end, so
+datagrams may be lost, repeated or arrive in any order. Correctness does not depend on
+facts: a node that has not received one yet acts as it would have a second earlier.
 """
 
 from collections.abc import Callable, Iterator
@@ -10,13 +10,15 @@
 from enum import IntEnum
 
 CRASH_RETENTION_S = 3600.0
-"""How long a crash counts against a fingerprint: callers who send a request again do
-so within minutes, and a mended model version must get another chance."""
+"""How long a crash counts against a request fingerprint, in seconds. Callers who repeat
+a request do so within minutes, and after the model version is fixed the request must
+be allowed again."""
 
 MIN_EXTENSION_S = 1.0
-"""Least difference by which an end must grow to be taken over. Ends travel as seconds
-left, since clocks differ between nodes; each hop adds its transit time, and without
-the slack a fact that two nodes keep telling each other would never expire."""
+"""Minimum seconds by which a received end must be later to replace the known one. Ends
+are sent as seconds left, since clocks differ between nodes, so each hop adds its
+transit time. Without this minimum a fact that two nodes keep exchanging would never
+expire."""
 
 
 class FactKind(IntEnum):
@@ -32,25 +34,26 @@
     FactKind.ZONE_UNDER_NOTICE: 64,
     FactKind.CRASH: 4096,
 }
-"""Facts kept of each kind. 2,600 servers and 10 zones fit; a caller who crashes a
-server with ever new prompts fills its own kind only, and the oldest crash gives way."""
+"""Maximum number of facts of each kind; 2,600 servers and 10 zones fit. A caller who
+crashes servers with ever new prompts fills only the crash kind, where the fact that
+ends first is evicted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fact:
-    """One fact, and until when it holds.
+    """One fact, and the time until which it is valid.
 
     Attributes
     ----------
     subject : str
         Server id, zone or request fingerprint.
     origin : str
-        Who counted, for crashes: a node, or the name of one crash that counts once;
-        otherwise empty.
+        For crashes, who counted: a node, or an identifier of a single crash, which
+        then counts once; otherwise empty.
     value : int
         Crash count; 1 for the other kinds.
     until : float
-        Seconds on the clock of the node that holds the fact.
+        End of validity, in seconds on the clock of the node that keeps the fact.
     """
 
     kind: FactKind
@@ -61,15 +64,16 @@
 
     @property
     def key(self) -> tuple[FactKind, str, str]:
-        """What names the fact among all others."""
+        """The identity of the fact: kind, subject and origin."""
         return (self.kind, self.subject, self.origin)
 
 
 class FactTable:
-    """The facts that this node holds.
+    """The facts that this node knows.
 
-    The serving path asks it which servers and zones are leaving and how often a
-    request crashed; reclaim notices and crashes are entered where they are noticed.
+    The serving path reads from it which servers and zones are leaving and how often a
+    request has crashed servers. The code that observes reclaim notices and crashes
+    adds them.
 
     Parameters
     ----------
@@ -79,9 +83,9 @@
     Attributes
     ----------
     listeners : list of callable
-        Called with each :class:`Fact` that is new or has grown, wherever it came from.
+        Called with each :class:`Fact` that is new or extended, from any source.
     dropped : int
-        Facts given up because their kind was full.
+        Number of facts evicted because their kind was full.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -91,19 +95,19 @@
         self.facts: dict[FactKind, dict[tuple, Fact]] = {kind: {} for kind in FactKind}
 
     def server_leaving(self, server_id: str, until: float) -> None:
-        """Enter that a backend server takes no new work until `until`."""
+        """Add the fact that a backend server accepts no new work until `until`."""
         self.merge(Fact(FactKind.SERVER_LEAVING, server_id, "", 1, until))
 
     def zone_under_notice(self, zone: str, until: float) -> None:
-        """Enter that a zone is being reclaimed, and avoided until `until`."""
+        """Add the fact that a zone is being reclaimed and is avoided until `until`."""
         self.merge(Fact(FactKind.ZONE_UNDER_NOTICE, zone, "", 1, until))
 
     def crash(self, fingerprint: str, node: str, count: int) -> None:
-        """Enter that `node` saw a request crash `count` servers so far."""
+        """Add the fact that `node` has seen a request crash `count` servers so far."""
         self.merge(self.crash_fact(fingerprint, node, count))
 
     def crash_fact(self, fingerprint: str, origin: str, count: int) -> Fact:
-        """Return the fact that a request crashed `count` servers, counted from now."""
+        """Return the fact that a request crashed `count` servers, valid from now."""
         until = self.now() + CRASH_RETENTION_S
         return Fact(FactKind.CRASH, fingerprint, origin, count, until)
 
@@ -116,7 +120,7 @@
         return {fact.subject for fact in self._unexpired(FactKind.ZONE_UNDER_NOTICE)}
 
     def crashes(self, fingerprint: str) -> int:
-        """Return how many crashes of `fingerprint` all nodes counted together."""
+        """Return the number of crashes of `fingerprint`, summed over all origins."""
         return sum(
             fact.value
             for fact in self._unexpired(FactKind.CRASH)
@@ -124,7 +128,7 @@
         )
 
     def merge(self, fact: Fact) -> bool:
-        """Take over what `fact` adds; return whether it was news."""
+        """Merge a fact; return whether it is new or extends the known one."""
         if fact.until <= self.now():
             return False
         table = self.facts[fact.kind]
@@ -146,19 +150,19 @@
         return True
 
     def expire(self) -> None:
-        """Forget the facts whose time is over."""
+        """Remove the facts that are no longer valid."""
         now = self.now()
         for table in self.facts.values():
             for key in [key for key, fact in table.items() if fact.until <= now]:
                 del table[key]
 
     def all(self) -> Iterator[Fact]:
-        """Yield every fact that holds."""
+        """Yield every fact that is still valid."""
         for kind in FactKind:
             yield from self._unexpired(kind)
 
     def get(self, key: tuple[FactKind, str, str]) -> Fact | None:
-        """Return the fact named `key` if it holds."""
+        """Return the fact with `key` if it is still valid, or ``None``."""
         fact = self.facts[key[0]].get(key)
         return fact if fact is not None and fact.until > self.now() else None
 
--- a/packages/endive_core/src/endive_core/members.py
+++ b/packages/endive_core/src/endive_core/members.py
@@ -1,4 +1,4 @@
-"""What a member says of itself, and the content of one datagram between nodes."""
+"""Descriptions of members, and the content of a gossip datagram between nodes."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -8,23 +8,24 @@
 from endive_core.facts import Fact
 
 DATAGRAM_BYTES = 1200
-"""Most bytes of one datagram: under one MTU on every path, since a fragmented datagram
-is lost whole with any of its fragments."""
+"""Maximum size of a datagram in bytes. It stays below the MTU of every path, since a
+fragmented datagram is lost if any of its fragments is lost."""
 
 DIGEST_HEAD_BYTES = 48
 HEARTBEAT_BYTES = 13
 MEMBER_BYTES = 38
 FACT_BYTES = 22
-"""Upper estimates of encoded sizes, without the text; a test holds them against the
-codec."""
+"""Upper estimates of encoded sizes in bytes, without the texts; a test compares them
+with the codec."""
 
 MEMBER_KEY_BITS = 34
-"""Members are named by a hash in heartbeats, which five bytes hold: two of 370 collide
-with a probability of 4e-6, and a collision would only hide one of the two."""
+"""Bits of the hash that identifies a member in heartbeats; it fits in five bytes. Among
+370 members two collide with a probability of 4e-6, and a collision would only hide one
+of the two."""
 
 
 class MemberState(StrEnum):
-    """What a member says of itself."""
+    """State of a member as reported by itself."""
 
     STARTING = "starting"
     LIVE = "live"
@@ -33,20 +34,20 @@
 
 @dataclass(frozen=True)
 class Member:
-    """One node as others see it.
+    """One node as other nodes know it.
 
     Attributes
     ----------
     peer_address : str
         ``IP:port`` of the node's thrift listener.
     configuration_offset : int
-        Highest offset of the configuration it has in force.
+        Highest offset of the configuration that the node has in force.
     gossip_address : str
         ``IP:port`` of its UDP heartbeat listener.
     incarnation : int
-        Grows with each start of the node.
+        Increases with each start of the node.
     heartbeat : int
-        Grows as long as the node runs.
+        Counter that the node increments while it runs.
     """
 
     id: str
@@ -61,13 +62,13 @@
 
     @property
     def logical_time(self) -> tuple[int, int]:
-        """What orders two views of the same member; the larger is the newer."""
+        """Key that orders entries of one member; the larger key is the newer entry."""
         return (self.incarnation, self.heartbeat)
 
 
 @dataclass(frozen=True, slots=True)
 class Beat:
-    """The part of a member that changes, named by :func:`member_key`."""
+    """The fields of a member that change often, identified by :func:`member_key`."""
 
     member: int
     heartbeat: int
@@ -77,17 +78,17 @@
 
 @dataclass
 class Digest:
-    """The content of one datagram.
+    """The content of one gossip datagram.
 
     Attributes
     ----------
     sender : Member
-        The node that sent it, as it describes itself.
+        The entry of the sending node, as it describes itself.
     wanted : list of int
-        Keys of members the sender has heard of and can't name; the receiver answers
-        with their entries.
+        Keys of members of which the sender has received heartbeats but no entry; the
+        receiver answers with their entries.
     highest_offset : int
-        Highest configuration offset the sender has heard of from anybody.
+        Highest configuration offset that the sender has seen from any node.
     """
 
     sender: Member
@@ -99,10 +100,10 @@
 
 
 def member_key(member: Member) -> int:
-    """Return the number that names one run of a member in heartbeats.
+    """Return the number that identifies one run of a member in heartbeats.
 
-    A member that restarted has another one, so that nobody keeps the address of its
-    last run with the heartbeat of the new.
+    A restarted member has a different key, so that no node combines the address of
+    its previous run with the heartbeat of the new one.
     """
     run = f"{member.id}\x00{member.incarnation}"
     return xxhash.xxh3_64_intdigest(run.encode()) >> (64 - MEMBER_KEY_BITS)
--- a/packages/endive_core/src/endive_core/membership.py
+++ b/packages/endive_core/src/endive_core/membership.py
@@ -1,8 +1,9 @@
-"""Which nodes are there: members, what they last said, and what to tell others.
+"""Gossip membership: the known nodes, their last state, and failure detection.
 
-Every node counts its own heartbeat up and passes on the highest it knows of others.
-Whoever's heartbeat stands still for long enough by this node's own clock is suspected,
-and later removed. Nothing that must be right depends on it: the log decides.
+Every node increments its own heartbeat and passes on the highest heartbeat that it
+knows of every other node. A member whose heartbeat has not increased for long enough
+by this node's own clock is suspected, and later removed. Correctness does not depend
+on the membership, only on the log.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -20,35 +21,37 @@
 )
 
 MAX_WANTED = 20
-"""Members asked for in one datagram; their entries fill the one that answers."""
+"""Maximum number of entries requested in one datagram; they fill the answer to it."""
 
 HEARTBEAT_PERIOD_S = 1.0
 HEARTBEAT_PERIOD_PER_MEMBER_S = 0.011
-"""Time between two heartbeats of one member, at least, and for each member known. Each
-heartbeat is passed on by every node a few times: at 370 members and three datagrams a
-second, faster ones would crowd each other out and all come late."""
+"""Time between two heartbeats of one member in seconds: the minimum, and the addition
+for each known member. Every node passes each heartbeat on a few times. At 370 members
+and three datagrams per second, more frequent heartbeats would displace each other in
+the datagrams, and all of them would arrive late."""
 
 TOMBSTONE_S = 600.0
-"""How long a removed member's last heartbeat is remembered. Old news of it still goes
-round after its removal and would bring it back to life again and again."""
+"""How long a removed member's last heartbeat is kept, in seconds. Datagrams with old
+entries of it still arrive after its removal, and would add it again and again."""
 
 REMOVED_ADDRESS_RETRY_S = 3600.0
-"""How long the address of a removed member is still tried: regions lose each other for
-minutes, and find each other again by it."""
+"""How long the address of a removed member is still contacted, in seconds. Regions that
+lose contact for minutes find each other again this way."""
 
 MAX_REORDERED_HEARTBEATS = 30
-"""Heartbeats by which a node may speak too late because datagrams overtook each other;
-one that is further behind has restarted without knowing its last run's count."""
+"""Heartbeats by which a node's own entry may be older than the known one because its
+datagrams were reordered. A node that is further behind has restarted and does not know
+the heartbeat of its previous run."""
 
 UNKNOWN_ADDRESS_SHARE = 0.1
-"""Share of the datagrams that go to a seed or a lost member instead of a member."""
+"""Share of the datagrams that go to a seed or a removed member's address."""
 
 
 class RandomSource(Protocol):
-    """The randomness that choosing a receiver needs."""
+    """Source of randomness for the choice of receivers."""
 
     def random(self) -> float:
-        """Return a number from 0 to under 1."""
+        """Return a number in the interval [0, 1)."""
         ...
 
     def choice(self, options: Sequence[str]) -> str:
@@ -58,17 +61,18 @@
 
 @dataclass(frozen=True)
 class Timings:
-    """When a silent member is suspected and removed.
+    """Timeouts after which a silent member is suspected and removed.
 
-    The larger the fleet, the longer news travels, for a datagram holds only some of
-    the heartbeats: each limit grows with the number of members.
+    The more members there are, the longer a heartbeat takes to reach all of them,
+    since a datagram has room for only some of the heartbeats. So each timeout grows
+    with the number of members.
 
     Attributes
     ----------
     suspect_after_s, remove_after_s : float
-        Silence in seconds, in a fleet of few members.
+        Seconds without a newer heartbeat, before the addition for each member.
     per_member_s : float
-        Added to both for each member known.
+        Seconds added to both timeouts for each known member.
     """
 
     suspect_after_s: float = 8.0
@@ -77,26 +81,26 @@
 
 
 class Membership:
-    """The members that this node knows, itself among them.
+    """The members that this node knows, including itself.
 
-    Other parts of the node ask :meth:`live`; the UDP loop calls :meth:`tick`,
+    Other parts of the node call :meth:`live`; the UDP loop calls :meth:`tick`,
     :meth:`receiver`, :meth:`digest` and :meth:`receive`.
 
     Parameters
     ----------
     me : Member
-        This node; ``incarnation`` must be larger than at its last start.
+        This node; ``incarnation`` must be larger than at its previous start.
     now : callable
         Returns seconds on this node's clock.
     random : RandomSource
-        Chooses who gets the next datagram.
+        Used to choose the receiver of the next datagram.
     round_s : float
-        Seconds between two calls of :meth:`tick`, if nothing delays the node.
+        Seconds between two calls of :meth:`tick` if nothing delays the node.
 
     Attributes
     ----------
     state_listeners : list of callable
-        Called when this node says that it is live, or leaving.
+        Called after this node's own state has changed.
     """
 
     def __init__(
@@ -129,7 +133,7 @@
         self.live_members: list[Member] | None = None
         self.digest_writer = DigestWriter(self)
 
-    # What other parts ask.
+    # Queries.
 
     def live(self) -> list[Member]:
         """Return the live members that are not suspected, ordered by id."""
@@ -138,22 +142,22 @@
         return self.live_members
 
     def get(self, member_id: str) -> Member | None:
-        """Return the member called `member_id`, whatever its state, or ``None``."""
+        """Return the member with id `member_id` in any state, or ``None``."""
         if member_id == self.me.id:
             return self.me
         known = self.known.get(member_id)
         return known.member if known else None
 
     def reachable(self) -> list[Member]:
-        """Return all members but this one that are not suspected, in any state."""
+        """Return all other members that are not suspected, in any state."""
         return [k.member for k in self.known.values() if not self.is_suspected(k)]
 
     def suspected(self) -> list[Member]:
-        """Return the members that have been silent for too long."""
+        """Return the members whose heartbeat has not increased for too long."""
         return [k.member for k in self.known.values() if self.is_suspected(k)]
 
     def is_suspected(self, known: KnownMember) -> bool:
-        """Return whether a member has been silent for too long."""
+        """Return whether a member's heartbeat has not increased for too long."""
         return self.now() - known.last_heard_at > self._scaled_timeout_s(
             self.timings.suspect_after_s
         )
@@ -167,25 +171,25 @@
     def _scaled_timeout_s(self, base_s: float) -> float:
         return base_s + self.timings.per_member_s * len(self.known)
 
-    # What this node says of itself.
+    # This node's own entry.
 
     def set_state(self, state: MemberState) -> None:
-        """Change what this node says of itself."""
+        """Change this node's own state."""
         self.me = replace(self.me, state=state)
         self._increment_heartbeat()
         for listener in self.state_listeners:
             listener()
 
     def leave(self) -> None:
-        """Say that this node takes nothing new."""
+        """Announce that this node accepts no new requests."""
         self.set_state(MemberState.LEAVING)
 
     def set_peer_address(self, address: str) -> None:
-        """Enter where this node's thrift listener is bound."""
+        """Set the address of this node's thrift listener."""
         self.me = replace(self.me, peer_address=address)
 
     def set_offset(self, offset: int) -> None:
-        """Enter the configuration offset that this node has in force."""
+        """Set the configuration offset that this node has in force."""
         if offset != self.me.configuration_offset:
             self.me = replace(self.me, configuration_offset=offset)
             self.highest_offset = max(self.highest_offset, offset)
@@ -195,7 +199,7 @@
     # Sending.
 
     def tick(self) -> None:
-        """Count the heartbeat up, and remove whoever was silent for too long."""
+        """Increment the heartbeat when it is due, and remove members that time out."""
         now = self.now()
         self._exclude_own_pause(now - self.last_tick_at)
         self.last_tick_at = now
@@ -222,11 +226,11 @@
         self.live_members = None
 
     def _exclude_own_pause(self, elapsed_s: float) -> None:
-        """Leave the time in which this node itself stood still out of account.
+        """Exclude the time in which this node itself was paused.
 
-        After a pause every other member seems to have been silent, though nobody was
-        listening: all would be suspected at once, and the node would believe itself
-        alone until the next heartbeats come.
+        After a pause no heartbeat of any other member has been received for its
+        duration. Without this all members would be suspected at once, and the node
+        would consider itself the only member until the next heartbeats arrive.
         """
         pause_s = elapsed_s - 2 * self.tick_period_s
         if pause_s > 0:
@@ -248,7 +252,7 @@
                 del self.removed_addresses[address]
 
     def receiver(self) -> str | None:
-        """Return the gossip address that the next datagram goes to."""
+        """Choose the gossip address to which the next datagram is sent."""
         members = [k.member.gossip_address for k in self.known.values()]
         strangers = self.strangers()
         if strangers and (not members or self.random.random() < UNKNOWN_ADDRESS_SHARE):
@@ -256,7 +260,7 @@
         return self.random.choice(members) if members else None
 
     def strangers(self) -> list[str]:
-        """Return the gossip addresses at which a node may be that is not known here."""
+        """Return the seeds and removed addresses that belong to no known member."""
         heard_of = {known.member.gossip_address for known in self.known.values()}
         heard_of.add(self.me.gossip_address)
         return sorted((self.seeds | self.removed_addresses.keys()) - heard_of)
@@ -268,10 +272,11 @@
     # Receiving.
 
     def receive(self, digest: Digest) -> bool:
-        """Take over what `digest` adds; return whether to answer it at once.
+        """Merge `digest`; return whether to answer it at once.
 
-        An answer is due to a new node, and if either side has heard of members it
-        can't name, so that a new node knows all others within a few exchanges.
+        It is answered if its sender is new, if either side lacks entries of members
+        whose heartbeats it has received, or if there are corrections to send. So a
+        new node knows all others within a few exchanges.
         """
         is_new = digest.sender.id not in self.known
         self._add_correction(digest.sender)
@@ -290,10 +295,11 @@
         return bool(is_new or digest.wanted or self.wanted or self.corrections)
 
     def _add_correction(self, sender: Member) -> None:
-        """Tell a restarted node how far its last run had counted.
+        """Queue the known entry for a restarted node that sends an older one.
 
-        Its clock may be behind, so that its incarnation is too. Its datagrams would be
-        taken for old ones, nobody would send it any, and it would never find out.
+        If its clock is behind, its incarnation is lower than that of its previous run.
+        Other nodes would ignore its datagrams as outdated and send it none, and it
+        would never learn of the higher incarnation.
         """
         if sender.id in self.known:
             latest = self.known[sender.id].member
@@ -340,10 +346,10 @@
             self.wanted[key] = None
 
     def _supersede_previous_run(self, previous: Member) -> None:
-        """Start a new incarnation if others know a later one of this node.
+        """Choose a higher incarnation if others know a newer entry of this node.
 
-        A clock set back gives a restarted node a smaller incarnation than its last
-        run had; nobody would believe its heartbeats until they had caught up.
+        A node that restarts after its clock was set back has a lower incarnation than
+        its previous run; other nodes would ignore its heartbeats until they caught up.
         """
         if previous.logical_time > self.me.logical_time:
             del self.ids[member_key(self.me)]
--- a/packages/endive_core/tests/test_facts.py
+++ b/packages/endive_core/tests/test_facts.py
@@ -26,8 +26,8 @@
 
 
 def test_crashes_are_summed_over_nodes_and_merged_by_the_larger():
-    """Two nodes each saw the same request crash a server, and their counts come
-    repeated and out of order; the sum must be two, not four."""
+    """Two nodes have each seen the same request crash a server, and their counts arrive
+    repeatedly and out of order. The sum must be two, not four."""
     table, _ = make_table()
     for node, count in (("n1", 1), ("n2", 1), ("n1", 1), ("n2", 1)):
         table.crash("abc", node, count)
@@ -46,8 +46,8 @@
 
 
 def test_fact_passed_to_and_fro_expires():
-    """Two nodes tell each other of a zone again and again, each a little late; the
-    zone would stay under notice for ever and never be used again."""
+    """Two nodes send each other a zone's notice again and again, and each transit makes
+    its end a little later. The zone must not stay under notice for ever."""
     (first, time), (second, _) = make_table(), make_table()
     second.now = time.now
     first.zone_under_notice("brest", until=10.0)
@@ -61,7 +61,7 @@
 
 
 def test_full_kind_gives_up_what_ends_first_and_no_other_kind():
-    """A caller crashes servers with ever new prompts; notices must not be lost."""
+    """A caller crashes servers with ever new prompts; notices must not be evicted."""
     table, _ = make_table()
     table.server_leaving("engine-1", until=5.0)
     limit = MAX_FACTS[FactKind.CRASH]
--- a/packages/endive_core/tests/test_membership.py
+++ b/packages/endive_core/tests/test_membership.py
@@ -15,7 +15,7 @@
     return next(iter(fleet.nodes.values()))
 
 
-def test_every_node_hears_of_every_other():
+def test_every_node_learns_of_every_other():
     fleet = Fleet(30)
     assert fleet.seconds_until(fleet.all_live()) < 20
     fleet.run(60)
@@ -23,7 +23,7 @@
 
 
 def test_lost_datagrams_suspect_nobody():
-    """A busy network loses a fifth of all datagrams; no node loses its work."""
+    """With a fifth of all datagrams lost no live node is suspected."""
     fleet = joined(30, loss=0.2)
     for _ in range(180):
         fleet.round()
@@ -31,7 +31,7 @@
 
 
 def test_killed_node_is_suspected_then_removed():
-    """A machine vanishes without a word; peers would go on handing work to it."""
+    """A machine disappears without notice; peers must stop handing requests to it."""
     fleet = joined(12)
     gone = first_of(fleet)
     fleet.stop(gone)
@@ -48,9 +48,9 @@
     assert fleet.seconds_until(fleet.all_live()) < 8
 
 
-def test_restart_with_an_earlier_clock_is_believed():
-    """A node is replaced under its name by a machine whose clock is behind, so that
-    its start looks older than the last; peers would think it dead for ever."""
+def test_restart_with_an_earlier_clock_is_accepted():
+    """A node is replaced under the same id by a machine whose clock is behind, so that
+    its incarnation is lower than before. Peers must not ignore it as outdated."""
     fleet = joined(8)
     old = first_of(fleet)
     fleet.run(10)
@@ -66,8 +66,8 @@
     assert all(fleet.all_live()(node) for node in fleet.nodes.values())
 
 
-def test_restart_after_removal_with_an_earlier_clock_is_believed():
-    """The same, but the old run has been removed before the new one starts."""
+def test_restart_after_removal_with_an_earlier_clock_is_accepted():
+    """As above, but the previous run was removed before the new one starts."""
     fleet = joined(8)
     old = first_of(fleet)
     fleet.stop(old)
@@ -77,8 +77,8 @@
 
 
 def test_pause_of_this_node_suspects_nobody():
-    """A node's machine stands still for a minute. On waking it has heard nobody for a
-    minute, and would believe itself the only member."""
+    """A node's machine is paused for a minute. When it resumes, it has received no
+    heartbeat for a minute, and must not consider itself the only member."""
     fleet = joined(8)
     paused = first_of(fleet)
     fleet.paused = {paused.me.gossip_address}
@@ -88,9 +88,9 @@
     assert len(paused.live()) == 8
 
 
-def test_parted_regions_find_each_other_again():
-    """Two regions lose each other for five minutes; each removes the other's nodes,
-    and must take them back once the network is whole, without any restart."""
+def test_partitioned_regions_rejoin():
+    """Two regions lose contact for five minutes, and each removes the other's nodes.
+    When the network is restored, they must rejoin without a restart."""
     fleet = joined(12)
     addresses = sorted(fleet.nodes)
     left = set(addresses[:6])
@@ -101,8 +101,8 @@
     assert fleet.seconds_until(fleet.all_live()) < 60
 
 
-def test_old_news_of_a_removed_member_does_not_revive_it():
-    """A delayed datagram still tells of a node that everyone else has removed."""
+def test_outdated_entry_of_a_removed_member_does_not_add_it_again():
+    """A delayed datagram contains a member that all nodes have removed."""
     fleet = joined(4, timings=Timings(suspect_after_s=2, remove_after_s=4))
     gone = first_of(fleet)
     late = Digest(gone.me, members=[gone.me])
@@ -132,7 +132,7 @@
 
 
 def test_configuration_of_every_member_is_known_soon():
-    """An operator changes a resource and watches on how many nodes it is in force."""
+    """Operators read from it on how many nodes a change is in force."""
     fleet = joined(30)
     for node in fleet.nodes.values():
         node.set_offset(78)
