--- a/packages/endive_core/src/endive_core/fold.py
+++ b/packages/endive_core/src/endive_core/fold.py
@@ -1,8 +1,8 @@
 """The configuration, folded from the log's records in offset order.
 
-Every node replays the same records and decides each the same way: a change applies
-if its expected version matches, and conflicts otherwise. So the append-only log gives
-compare-and-set without any node being in charge.
+Every node replays the same records and makes the same decision on each: a change is
+applied if its expected version matches, and conflicts otherwise. So the append-only
+log provides compare-and-set without a leader.
 """
 
 from collections import OrderedDict
@@ -13,21 +13,21 @@
 from endive_core.records import ALL_ORGANISATIONS, Change, Record, Snapshot
 
 ABSENT = -1
-"""The version of a resource that does not exist; offset 0 is a version like others."""
+"""Version of a resource that does not exist. It is not 0, since 0 is a valid offset."""
 
 MAX_OUTCOMES = 4_000
-"""Change ids remembered: nearly nine hours at 11,000 changes a day, far longer than a
-writer keeps repeating an append whose answer was lost, and few enough that a snapshot
-stays well under a megabyte. The bound is a number of records and not a time, so that
-every node forgets the same id at the same record.
+"""Number of change ids that are kept. At 11,000 changes a day they cover nearly nine
+hours, far longer than a writer repeats an append whose answer was lost, and a snapshot
+stays well below a megabyte. The bound is a number of records and not a time, so that
+every node evicts the same id at the same record.
 
-A copy of an append can still arrive after that: the log answered 504 and took it much
-later. Its id is forgotten, and applied again it would bring back an older resource. It
-is refused by its basis, which then lies more than this many records back."""
+A copy of an append can still arrive after its id was evicted, if the log answered 504
+and accepted it much later. Applied again it would restore an older resource. Its basis
+then lies more than this many records back, and the change is refused."""
 
 
 class Verdict(StrEnum):
-    """How the fold decided a change."""
+    """The decision on a change."""
 
     APPLIED = "applied"
     CONFLICT = "conflict"
@@ -41,8 +41,8 @@
     Attributes
     ----------
     version : int
-        The resource's version after the decision; for a conflict the winner's, and
-        :data:`ABSENT` if the resource does not exist.
+        The resource's version after the decision. For a conflict it is the version in
+        force, or :data:`ABSENT` if the resource does not exist.
     """
 
     change_id: str
@@ -50,20 +50,22 @@
     version: int
 
     def applied_at(self, offset: int) -> bool:
-        """Return whether the record at `offset` itself was applied."""
+        """Return whether the change was applied by the record at `offset` itself."""
         return self.verdict is Verdict.APPLIED and self.version == offset
 
 
 @dataclass(frozen=True)
 class StoredResource:
-    """A resource in force, and the change that put it there.
+    """A resource in force, with the metadata of its latest change.
 
     Attributes
     ----------
     version : int
-        The change's offset.
-    operator, at
-        Who changed it, and when by the writer's clock, seconds since 1970.
+        Offset of the change.
+    operator : str
+        Who changed it.
+    at : float
+        When it was changed, in seconds since 1970 by the writer's clock.
     """
 
     kind: str
@@ -77,8 +79,8 @@
 class ConfigurationFold:
     """The state of the configuration stream up to an offset.
 
-    A user meets it through every lookup a node makes; operators meet it as the
-    answers to get, list and watch.
+    A node's configuration lookups and the operators' get, list and watch requests are
+    answered from it.
 
     Attributes
     ----------
@@ -92,10 +94,10 @@
         self.outcomes: OrderedDict[str, Outcome] = OrderedDict()
 
     def apply(self, offset: int, record: Record) -> Outcome | None:
-        """Fold one record; return the outcome if it is a change.
+        """Fold one record; return the outcome if the record is a change.
 
-        Records at or below :attr:`offset` are ignored, so a replay never moves the
-        state back to an older one.
+        Records at or below :attr:`offset` are ignored, so a replay never restores an
+        older state.
         """
         if offset <= self.offset:
             return None
@@ -117,12 +119,13 @@
         return self._remember(Outcome(change.change_id, verdict, version))
 
     def verdict(self, change: Change) -> tuple[Verdict, int]:
-        """Return how `change` would be decided now, and the version in force."""
+        """Return the decision on `change` in this state, and the version in force."""
         current = self.resources.get((change.kind, change.name))
         version = current.version if current else ABSENT
         if current is not None and not _in_scope(change, current):
-            # Two organisations race for one name and the writers' nodes saw neither:
-            # without this the second would silently take the first one's resource.
+            # Two organisations may create the same name at once on nodes that have seen
+            # neither change. Without this check the second change would silently
+            # replace the other organisation's resource.
             return Verdict.FORBIDDEN, version
         if change.expected_version not in (None, version):
             return Verdict.CONFLICT, version
@@ -153,12 +156,12 @@
         return self.resources.get((kind, name))
 
     def listed(self, kind: str) -> list[StoredResource]:
-        """Return all resources of `kind`, by name."""
+        """Return all resources of `kind`, sorted by name."""
         found = [r for r in self.resources.values() if r.kind == kind]
         return sorted(found, key=lambda r: r.name)
 
     def snapshot(self) -> Snapshot:
-        """Return the whole state; equal states give equal snapshots."""
+        """Return a snapshot of the state; equal states give equal snapshots."""
         return Snapshot(
             through=self.offset,
             resources=[asdict(stored) for _, stored in sorted(self.resources.items())],
@@ -169,7 +172,7 @@
 
     @classmethod
     def from_snapshot(cls, snapshot: Snapshot) -> "ConfigurationFold":
-        """Return the state that `snapshot` holds."""
+        """Return the state that `snapshot` describes."""
         fold = cls()
         fold.offset = snapshot.through
         for entry in snapshot.resources:
--- a/packages/endive_core/src/endive_core/freshness.py
+++ b/packages/endive_core/src/endive_core/freshness.py
@@ -1,46 +1,52 @@
-"""How long ago a copy was known to be the newest, and when to ask again.
+"""Freshness of a node's copy of stored data, and the schedule of checks.
 
-A read that waits for a change says nothing until there is one, and as little when its
-connection is dead. So only an answer proves that a copy is the newest, as of the moment
-at which it was asked for.
+A read that waits for a change returns nothing until there is one, and also returns
+nothing if its connection is dead. So only the answer to a check proves that a copy is
+the newest, as of the time at which the check was sent.
+
+The schedule keeps the number of checks nearly independent of the number of nodes: one
+node checks, and tells the result to the others before they check themselves.
 """
 
 from dataclasses import dataclass
 
 FIRST_CHECK_FRACTION = 0.4
-"""Part of the bound after which the first node asks."""
+"""Fraction of the bound after which the node of rank 0 checks."""
 
 RANK_DELAY_FRACTION = 0.1
-"""Part of the bound by which each further node waits longer. One of them asks, and the
-others hear of it before it is their turn."""
+"""Fraction of the bound by which each further rank waits longer, so that other nodes
+learn the result of one node's check before their own check is due."""
 
 LATEST_CHECK_FRACTION = 0.6
-"""Part of the bound after which any of a few nodes asks; the rest is for the answer."""
+"""Fraction of the bound by which each of the first nodes checks at the latest; the rest
+is time for the answer."""
 
 MAX_CONCURRENT_CHECKS = 20
-"""Nodes that may all ask by then. While nobody gets an answer, each node that asks for
-itself only adds to what the store has to turn away."""
+"""Number of nodes that may check by then. While no node gets an answer, each further
+check only adds to the requests that the store has to reject."""
 
 EXTRA_RANK_DELAY_FRACTION = 0.025
-"""Part of the bound by which each node beyond those waits longer, and by which all wait
-longer for each node when they ask again: at most twenty ask within half of the bound.
-If any of them gets an answer the others hear of it."""
+"""Fraction of the bound by which each node beyond those waits longer. A node whose
+check got no answer repeats it after this fraction times the number of nodes. So at most
+20 nodes check within half of the bound; if one gets an answer, the others learn of
+it."""
 
 
 @dataclass
 class Freshness:
-    """What a node knows of how new its copy is.
+    """How recent a node's copy is known to be, and when to check it again.
 
-    Times are seconds on one clock, which must go on while the machine is suspended.
+    Times are seconds on one clock, which must keep running while the machine is
+    suspended.
 
     Attributes
     ----------
     bound_s : float
-        Time within which a change must have reached the copy.
+        Time within which a change must reach the copy, in seconds.
     started_at : float
-        When there was no copy yet; the first proof is awaited from then on.
+        Start of the schedule while there is no proof yet.
     proven_at : float or None
-        When the copy was last known to be the newest.
+        Latest time at which the copy is known to have been the newest.
     """
 
     bound_s: float
@@ -48,16 +54,16 @@
     proven_at: float | None = None
 
     def prove(self, at: float) -> None:
-        """Take that the copy was the newest at `at`."""
+        """Record that the copy was the newest at time `at`."""
         if self.proven_at is None or at > self.proven_at:
             self.proven_at = at
 
     def age_s(self, now: float) -> float | None:
-        """Return the seconds since the copy was known to be the newest."""
+        """Return the seconds since the latest proof, or ``None`` without one."""
         return None if self.proven_at is None else now - self.proven_at
 
     def due_at(self, rank: int) -> float:
-        """Return when a node asks that `rank` others may ask before."""
+        """Return when a node checks, if `rank` other nodes check before it."""
         part = min(
             LATEST_CHECK_FRACTION, FIRST_CHECK_FRACTION + RANK_DELAY_FRACTION * rank
         )
@@ -66,5 +72,11 @@
         return since + part * self.bound_s
 
     def turns_s(self, nodes: int) -> float:
-        """Return after how long a node asks again that got no answer, among `nodes`."""
+        """Return after how long a node repeats a check that got no answer.
+
+        Parameters
+        ----------
+        nodes : int
+            Number of nodes that check.
+        """
         return EXTRA_RANK_DELAY_FRACTION * nodes * self.bound_s
--- a/packages/endive_core/src/endive_core/history.py
+++ b/packages/endive_core/src/endive_core/history.py
@@ -1,4 +1,4 @@
-"""The latest changes of the configuration, for watches."""
+"""Bounded history of configuration changes, from which watches are served."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -9,22 +9,24 @@
 from endive_core.records import Change
 
 MAX_EVENTS = 11_000
-"""A day of changes: a watcher that was away for longer lists the resources anew."""
+"""Maximum number of events, a day of changes. A watcher that was disconnected for
+longer lists the resources again."""
 
 MAX_SIZE_CHARACTERS = 2_000_000
-"""Characters of the kept changes' records, some 10 MB of memory: a day of ordinary
-changes, but only some hundred of services with a hundred servers each. Without it a
-script that changes such services all day takes hundreds of MB on every node."""
+"""Maximum total size of the kept changes' records in characters, about 10 MB of memory.
+This is a day of ordinary changes, but only some hundred changes of services with a
+hundred servers each. Without the limit a script that changes such services all day
+takes hundreds of MB on every node."""
 
 
 @dataclass(frozen=True)
 class ChangeEvent:
-    """One applied change, as a watch shows it.
+    """One applied change, as a watch returns it.
 
     Attributes
     ----------
     owner : str
-        Organisation that the resource belongs to, or belonged to when it was deleted.
+        Organisation that owns the resource, or owned it when it was deleted.
     size : int
         Characters of the change's record in the log.
     body : dict or None
@@ -43,15 +45,15 @@
 
 
 class ChangeHistory:
-    """Applied changes by version; operators meet it through a watch.
+    """Applied changes ordered by version, from which watches are served.
 
-    Every node folds the same records at the same offsets, so a watch that broke goes
-    on at any other node from the last version it saw.
+    Every node folds the same records at the same offsets, so an interrupted watch can
+    continue on any other node from the last version that it has seen.
 
     Attributes
     ----------
     oldest : int
-        The lowest version from which a watch can go on without a gap.
+        The lowest version from which a watch can continue without a gap.
     """
 
     def __init__(
@@ -70,12 +72,12 @@
         before: StoredResource | None,
         size: int = 0,
     ) -> None:
-        """Note a change that was applied.
+        """Add a change that was applied.
 
         Parameters
         ----------
         before : StoredResource or None
-            What the change replaced.
+            The resource that the change replaced or deleted.
         size : int
             Characters of the change's record.
         """
@@ -100,10 +102,10 @@
             self.size -= gone.size
 
     def restart(self, version: int) -> None:
-        """Forget everything: the fold was replaced by a snapshot at `version`.
+        """Clear the history after the fold was replaced by a snapshot at `version`.
 
-        The changes before it are not known here one by one, so a watch from an older
-        version is told so instead of missing some.
+        The single changes before the snapshot are unknown on this node, so a watch
+        from an older version gets an error instead of missing some of them.
         """
         self.events.clear()
         self.size = 0
@@ -115,12 +117,12 @@
         Raises
         ------
         EndiveError
-            ``watch_too_old`` if some of them are no longer known here.
+            ``watch_too_old`` if some of them are no longer kept on this node.
         """
         if version < self.oldest:
             raise EndiveError(
                 ErrorKind.WATCH_TOO_OLD,
-                f"changes after {version} are no longer kept one by one; list the "
+                f"changes after version {version} are no longer kept; list the "
                 f"resources and watch from the version of the list",
                 details={"oldest": self.oldest},
             )
--- a/packages/endive_core/src/endive_core/resources.py
+++ b/packages/endive_core/src/endive_core/resources.py
@@ -1,7 +1,7 @@
 """Validated models of the resources that operators declare.
 
-These models are the border: whatever an operator sends is checked here, field by
-field, before a change record is appended to the log.
+Everything that an operator sends is validated by these models, field by field, before
+a change record is appended to the log.
 """
 
 import re
@@ -15,7 +15,7 @@
 from endive_core.service_types import ServiceType
 
 NAME_PATTERN = re.compile(r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")
-"""Names are DNS labels with dots, so that they fit in paths and metrics."""
+"""Names are DNS labels with dots, so that they can be used in paths and metrics."""
 
 SHA256_HEX = re.compile(r"^[0-9a-f]{64}$")
 
@@ -23,7 +23,7 @@
 
 
 class ResourceKind(StrEnum):
-    """Kinds of resource, as spelled in paths and files."""
+    """Kinds of resource, as written in paths and files."""
 
     DEPLOYMENT = "deployment"
     BACKEND_SERVER_SERVICE = "backend-server-service"
@@ -37,21 +37,21 @@
 
 
 class LatencyTarget(_Spec):
-    """What 95 in 100 callers must see, in seconds."""
+    """Latency targets at the 95th percentile of callers, in seconds."""
 
     first_token_s: float = Field(0.38, gt=0, le=600)
     between_tokens_s: float = Field(0.029, gt=0, le=60)
 
 
 class Weights(_Spec):
-    """How a deployment weighs waiting against recomputing, both in seconds."""
+    """Weights of waiting time and recomputation time, both in seconds."""
 
     wait: float = Field(1.0, ge=0, le=100)
     recompute: float = Field(1.0, ge=0, le=100)
 
 
 class Deployment(_Spec):
-    """A model name callers may ask for, and the service that answers it."""
+    """A model name that callers may request, and the service that serves it."""
 
     model: Name
     service: Name
@@ -62,7 +62,7 @@
 
 
 class BackendServer(_Spec):
-    """One backend server: where it listens and where it runs."""
+    """One backend server: its address, zone and machine class."""
 
     id: Name
     address: str = Field(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
@@ -86,7 +86,7 @@
     def ids_are_unique(
         cls, servers: tuple[BackendServer, ...]
     ) -> tuple[BackendServer, ...]:
-        """Refuse two servers under one id: a report would be read for both."""
+        """Reject duplicate ids: a load report would be applied to both servers."""
         ids = [server.id for server in servers]
         if len(ids) != len(set(ids)):
             raise ValueError("two servers have the same id")
@@ -94,7 +94,7 @@
 
 
 class Organisation(_Spec):
-    """A customer: who may call, how much, and with what share."""
+    """A customer: the keys of its callers, its limits and its share of capacity."""
 
     share: float = Field(1.0, gt=0, le=1000)
     tokens_per_s: float = Field(1_000_000.0, gt=0)
@@ -104,15 +104,17 @@
     @field_validator("caller_key_hashes")
     @classmethod
     def hashes_are_sha256(cls, hashes: tuple[str, ...]) -> tuple[str, ...]:
-        """Refuse anything but SHA-256, so that no key is stored in the open."""
+        """Reject anything but SHA-256, so that no key is stored in plain text."""
         for value in hashes:
             if not SHA256_HEX.match(value):
-                raise ValueError("must be the SHA-256 of a key, 64 hex digits")
+                raise ValueError(
+                    "must be the SHA-256 hash of a key, 64 lower-case hex digits"
+                )
         return hashes
 
 
 class Priority(_Spec):
-    """A named level; a higher level goes first, bulk only fills idle capacity."""
+    """A named priority. Higher levels go first; bulk uses only idle capacity."""
 
     level: int = Field(0, ge=-100, le=100)
     bulk: bool = False
@@ -136,7 +138,7 @@
 
 
 class Resource(BaseModel):
-    """What an operator writes: kind, name, owner and a spec of that kind."""
+    """A resource as declared by an operator: kind, name, owner and spec."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -146,17 +148,17 @@
     spec: dict[str, Any] = {}
 
     def parsed(self) -> _Spec:
-        """Return the spec as the model of its kind."""
+        """Return the spec parsed by the model of its kind."""
         return SPECS[self.kind].model_validate(self.spec)
 
     @classmethod
     def from_body(cls, body: Any) -> "Resource":
-        """Check a decoded JSON body and return the resource, defaults filled in.
+        """Validate a decoded JSON body and return the resource with all defaults set.
 
         Raises
         ------
         EndiveError
-            ``invalid_resource``, with one entry for each field at fault.
+            ``invalid_resource``, with one entry for each invalid field.
         """
         try:
             resource = cls.model_validate(body)
@@ -171,7 +173,7 @@
 
 
 def field_errors(error: ValidationError) -> list[dict[str, str]]:
-    """Return one {field, found, problem} entry for each field at fault."""
+    """Return one {field, found, problem} entry for each invalid field."""
     return [
         {
             "field": ".".join(str(part) for part in entry["loc"]) or "(body)",
--- a/packages/endive_core/tests/test_fold.py
+++ b/packages/endive_core/tests/test_fold.py
@@ -8,7 +8,7 @@
 
 
 def test_one_of_two_racing_changes_wins():
-    """Two operators change what both saw at version 0; exactly one is applied."""
+    """Two operators create the same resource at once; exactly one change is applied."""
     fold = ConfigurationFold()
     first = fold.apply(0, change("a", expected=ABSENT))
     second = fold.apply(1, change("b", expected=ABSENT))
@@ -17,7 +17,7 @@
 
 
 def test_repeated_change_id_is_a_no_op():
-    """An append's answer was lost and the writer appended the change again."""
+    """The answer to an append was lost and the writer appended the change again."""
     fold = ConfigurationFold()
     first = fold.apply(3, change("a"))
     fold.apply(4, change("b", body={"spec": {"level": 2}}))
@@ -38,7 +38,7 @@
 
 def test_change_of_another_organisations_resource_is_forbidden():
     """Two organisations create the same name at once, each on a node that has seen
-    neither; without the check in the fold, the second would replace the first."""
+    neither change. Without the check in the fold the second would replace the first."""
     fold = ConfigurationFold()
     mine = Change("a", "priority", "vip", scope="kerloch", body={"owner": "kerloch"})
     theirs = Change("b", "priority", "vip", scope="yunhai", body={"owner": "yunhai"})
@@ -48,9 +48,9 @@
 
 
 def test_copy_of_an_append_arriving_after_its_id_was_forgotten_changes_nothing():
-    """The log answered 504 to an append and took it hours later, when the change had
-    long been made by the second append and undone by a colleague. Nobody would know
-    why the old value is back."""
+    """The log answers 504 to an append and accepts it hours later. By then a repeated
+    append has made the change, and a later change has replaced it. The late copy must
+    not restore the old value."""
     fold = ConfigurationFold()
     late = msgspec.structs.replace(change("c-1", body={"spec": {"level": 1}}), basis=-1)
     fold.apply(0, late)
@@ -63,9 +63,9 @@
     assert fold.get("priority", "vip").body == {"spec": {"level": 2}}
 
 
-def test_snapshot_of_the_size_designed_for_stays_under_a_megabyte():
-    """The log or a peer would refuse a record that is too large, and new nodes would
-    find no snapshot."""
+def test_snapshot_of_2600_servers_stays_under_a_megabyte():
+    """The log or a peer would reject a snapshot that is too large, and new nodes would
+    find none."""
     fold = ConfigurationFold()
     servers = [
         {
--- a/packages/endive_core/tests/test_freshness.py
+++ b/packages/endive_core/tests/test_freshness.py
@@ -20,7 +20,7 @@
     assert freshness.age_s(12.0) == 1.0
 
 
-def test_the_first_node_asks_first_and_each_of_a_few_within_the_limit():
+def test_checks_are_ordered_by_rank_and_the_first_are_within_the_limit():
     freshness = Freshness(BOUND_S, started_at=0.0)
     freshness.prove(10.0)
     due = [freshness.due_at(rank) for rank in range(MAX_CONCURRENT_CHECKS + 1)]
@@ -29,16 +29,16 @@
     assert max(due) <= 10.0 + LATEST_CHECK_FRACTION * BOUND_S < 10.0 + BOUND_S
 
 
-def test_a_copy_without_a_proof_is_asked_for_after_the_start():
+def test_without_a_proof_checks_are_due_after_the_start():
     freshness = Freshness(BOUND_S, started_at=10.0)
     assert 10.0 < freshness.due_at(0) <= freshness.due_at(9) < 10.0 + BOUND_S
 
 
 def checks_per_second(nodes, round_s, duration_s=30.0):
-    """Return how often any of `nodes` asks, each telling ten others at a time.
+    """Return the checks per second of all `nodes` together.
 
-    `round_s` is the time in which a node tells all others. What a node hears it passes
-    on with its next telling.
+    Each node sends its latest proof to `PEERS_PER_ROUND` others at a time, and reaches
+    all of them within `round_s` seconds. Proofs that it receives are passed on too.
     """
     rng = random.Random(1)
     copies = [Freshness(BOUND_S, started_at=0.0) for _ in range(nodes)]
@@ -66,14 +66,14 @@
 
 
 @pytest.mark.parametrize(("nodes", "round_s"), [(8, 0.2), (100, 1.0), (370, 3.7)])
-def test_many_nodes_ask_hardly_more_often_than_one(nodes, round_s):
-    """A read of each node for itself would grow with the fleet."""
+def test_many_nodes_check_hardly_more_often_than_one(nodes, round_s):
+    """If each node checked for itself, the store's load would grow with the nodes."""
     assert checks_per_second(nodes, round_s) <= 1.1 * checks_per_second(1, round_s)
 
 
 @pytest.mark.parametrize("nodes", [8, 100, 370])
-def test_a_fleet_without_answers_asks_at_a_rate_that_does_not_grow(nodes):
-    """Each node's own retries would keep a store down that is coming back."""
+def test_check_rate_without_answers_does_not_grow_with_the_nodes(nodes):
+    """Retries of every node would overload a store that is recovering."""
     due = [Freshness(BOUND_S, started_at=0.0).due_at(rank) for rank in range(nodes)]
     checks = []
     for at in due:
@@ -84,8 +84,8 @@
     assert max(in_seconds) <= 2 * MAX_CONCURRENT_CHECKS
 
 
-def test_if_the_first_can_not_read_the_others_take_their_turn_before_the_bound():
-    """The nodes that read for a hundred are all turned away by the store."""
+def test_if_the_first_nodes_cannot_read_others_check_before_the_bound():
+    """The store rejects the checks of the first nodes; others must check in time."""
     due = [Freshness(BOUND_S, started_at=0.0).due_at(rank) for rank in range(100)]
     assert min(due[10:]) < BOUND_S / 2 + 0.25 * BOUND_S
     assert due[MAX_CONCURRENT_CHECKS + 10] < BOUND_S
--- a/packages/endive_core/tests/test_history.py
+++ b/packages/endive_core/tests/test_history.py
@@ -17,8 +17,8 @@
 
 
 def test_deletion_keeps_the_owner_it_had():
-    """Operators see only their own organisation's changes; a deletion carries no body
-    that says whose it was, and without the former owner nobody would see it."""
+    """Operators see only changes of their own organisation, and a deletion has no body
+    with an owner. Without the previous owner no operator would see the deletion."""
     history = ChangeHistory()
     stored = type("Stored", (), {"body": {"owner": "kerloch"}})
     history.add(1, change("p"), stored)
@@ -27,8 +27,9 @@
 
 
 def test_watch_from_a_version_that_is_too_old_is_told_so():
-    """A watcher was away for long, or the node started from a snapshot. It must list
-    the resources anew; a silent gap would leave it with deleted ones."""
+    """A watcher was disconnected for long, or the node started from a snapshot. The
+    watcher must list the resources again; with a silent gap it would keep resources
+    that were deleted."""
     history = ChangeHistory(max_events=2)
     for offset in range(4):
         history.add(offset, change(f"p{offset}", {"owner": "kerloch"}), None)
@@ -43,8 +44,8 @@
 
 
 def test_large_changes_are_kept_by_size():
-    """A script changes large services all day; every node's memory would grow by all
-    of them."""
+    """A script changes large services all day; without the limit on size the history
+    would take hundreds of MB on every node."""
     history = ChangeHistory(max_size=100)
     for offset in range(50):
         history.add(offset, change("p", {"owner": "kerloch"}), None, size=30)
