--- a/packages/endive_core/src/endive_core/handover.py
+++ b/packages/endive_core/src/endive_core/handover.py
@@ -1,9 +1,9 @@
-"""Which node takes over a request, and in which order requests leave.
+"""Selects the nodes that take over requests, and the order of the transfers.
 
-The load this is for: a node holds thousands of unfinished requests when its zone is
-reclaimed, with about three seconds to give them away, and a second zone goes while
-the first is still draining. Every node must be able to work out, without asking a
-directory, which node took a request over.
+When its zone is reclaimed, a node may hold thousands of unfinished requests and have
+about three seconds to hand them over. A second zone may be reclaimed while the first
+is still draining. Every node must be able to compute, without a directory, which node
+took over a request, so the choice is made by rendezvous hashing.
 """
 
 from collections.abc import Iterable, Sequence
@@ -16,13 +16,13 @@
 
 ROUTE_CHARACTERS = 16
 CANDIDATES = 3
-"""Members asked first: the best one, and two more because views differ by a node or
-two that has just come or gone."""
+"""Number of members that are asked first: the best one and two more, since the member
+lists of two nodes may differ by one or two nodes that have just joined or left."""
 
 
 @dataclass(frozen=True)
 class RequestHead:
-    """What any node needs of a request to pass its answer on."""
+    """The fields of a request that a node needs to relay its answer."""
 
     request_id: str
     organisation: str
@@ -36,24 +36,25 @@
 
 @dataclass(frozen=True)
 class RequestTransfer:
-    """One unfinished request as it goes from one node to another.
+    """One unfinished request as it is sent from one node to another.
 
     Attributes
     ----------
     age_s, deadline_in_s : float
-        Seconds, since the clocks of two nodes can't be compared.
+        Seconds relative to now, since the clocks of two nodes cannot be compared.
     attempt : int
-        Attempts so far; the next holder counts on from it.
+        Number of attempts so far; the next holder continues to count from it.
     dispatched : bool
-        Whether a server may have run anything of it.
+        Whether a server may have run any part of the request.
     stopped : bool
-        The sender has given the request up for good: nothing of it runs any more and
-        nothing will be sent on its behalf.
+        Whether the sender has stopped the request for good: no part of it runs any
+        more and the sender will not send it again.
     starts_in_s : float
-        Seconds after which the receiver may take the sender for dead and start an
-        idempotent request without having been told that it stopped.
+        Seconds after which the receiver may consider the sender dead and start an
+        idempotent request without confirmation that the sender has stopped it.
     claim : dict
-        State of the claim of a non-idempotent request, as the claims keep it.
+        State of the claim of a non-idempotent request, in the form of the claims'
+        code.
     """
 
     head: RequestHead
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True)
 class AnswerTransfer:
-    """The answer so far of a request that was handed over; the sender has stopped.
+    """The answer so far of a request that was handed over and stopped by the sender.
 
     Attributes
     ----------
@@ -84,7 +85,7 @@
         For a non-idempotent request that a server ran and confirmed to have stopped,
         one more than that attempt; 0 if the sender's claim was not used.
     finish_reason, error : str
-        Set if the answer ended at the sender after all; ``error`` is an error kind.
+        Set if the answer ended on the sender after all; ``error`` is an error kind.
     status : int
         Set with ``content_type`` and ``data`` for a plain service's whole answer.
     """
@@ -104,22 +105,22 @@
 
 
 def route_of(organisation: str, key: str, unique: str) -> str:
-    """Return the part of a request id that decides which node takes it over.
+    """Return the part of a request id that determines which node takes it over.
 
-    For a request with an idempotency key it follows from the key, so that a caller
-    who has only the key is led to the same node as one who has the id.
+    For a request with an idempotency key it is derived from the key, so that a caller
+    who knows only the key is routed to the same node as one who knows the id.
     """
     text = f"{organisation}\0{key}" if key else unique
     return fingerprint(text)[:ROUTE_CHARACTERS]
 
 
 def request_id_for(node_id: str, organisation: str, key: str, unique: str) -> str:
-    """Return ``node.route-unique``: who accepted it, and where it goes from there."""
+    """Return ``node.route-unique``: the accepting node and the handover route."""
     return f"{node_id}.{route_of(organisation, key, unique)}-{unique}"
 
 
 def route_in(request_id: str) -> str:
-    """Return the route that a request id carries."""
+    """Return the route contained in a request id."""
     return request_id.rpartition(".")[2].partition("-")[0]
 
 
@@ -135,11 +136,12 @@
     zones_under_notice: frozenset[str] = frozenset(),
     without: frozenset[str] = frozenset(),
 ) -> list[Member]:
-    """Return the members that may hold a request, the best first.
+    """Return the members that may take over a request, the best first.
 
-    Members in a zone under notice come last, as they go next; leaving ones do not
-    come at all. Rendezvous hashing moves a request only when its holder leaves: a
-    second zone's notice changes the choice for none that sits outside both zones.
+    Members in a zone under notice come last, since they are about to leave; members
+    that are leaving are left out. With rendezvous hashing a request moves only when its
+    holder leaves: a notice for a second zone does not change the choice for a request
+    that is held outside both zones.
     """
     taking = {
         member.id: member
@@ -152,7 +154,7 @@
 
 @dataclass(frozen=True)
 class Departure:
-    """What the order of leaving depends on, for one request."""
+    """The properties of one request that determine the order of the transfers."""
 
     request_id: str
     level: int
@@ -161,21 +163,22 @@
 
 
 def departure_order(departures: Iterable[Departure]) -> list[str]:
-    """Return request ids in the order in which their records leave.
+    """Return request ids in the order in which their records are sent.
 
-    The node may be killed before the time it was told, so what leaves first survives.
-    Waiting requests have no answer yet that a caller could go on from, and a record
-    of megabytes would hold up hundreds: so by priority, then the small ones.
+    The node may be killed earlier than announced, so the records sent first are the
+    safest. They are ordered by priority, then by size, since one record of several
+    megabytes would delay hundreds of others. A waiting request has no partial answer
+    from which its caller could continue.
     """
     ranked = sorted(departures, key=lambda d: (-d.level, d.size, d.request_id))
     return [departure.request_id for departure in ranked]
 
 
 def batches(sizes: Sequence[int], max_bytes: int, max_records: int) -> list[slice]:
-    """Return slices of records, each under both limits or a single record.
+    """Return slices of records, each within both limits or a single record.
 
-    One call for each record spends the notice on round trips; one call for all of
-    them leaves nothing acknowledged if the node dies in the middle.
+    One call for each record would spend the notice period on round trips. One call for
+    all of them would leave nothing acknowledged if the node dies during the call.
     """
     found = []
     start = total = 0
@@ -191,7 +194,7 @@
 
 
 def transfer_of(request: Request, **state) -> RequestTransfer:
-    """Return the record of `request` that goes to another node."""
+    """Return the record of `request` that is sent to another node."""
     body = {k: v for k, v in request.body.items() if k != "data"}
     return RequestTransfer(
         head=head_of(request),
@@ -208,7 +211,7 @@
 
 
 def head_of(request: Request) -> RequestHead:
-    """Return what any node needs of `request` to pass its answer on."""
+    """Return the fields of `request` that a node needs to relay its answer."""
     return RequestHead(
         request_id=request.request_id,
         organisation=request.organisation,
@@ -222,7 +225,7 @@
 
 
 def request_of(transfer: RequestTransfer, deadline: float | None) -> Request:
-    """Return the request that `transfer` carries, its deadline on this node's clock."""
+    """Return the request in `transfer`, with its deadline on this node's clock."""
     head = transfer.head
     body, prompt = transfer.body, transfer.prompt
     if head.endpoint is Endpoint.SERVICE:
--- a/packages/endive_core/src/endive_core/leases.py
+++ b/packages/endive_core/src/endive_core/leases.py
@@ -1,10 +1,12 @@
-"""One holder at a time for a duty, decided by the order of a log.
-
-A holder's claim is a record appended at the log's known end, so of two claims one
-fails. Its offset is the fencing number. Whoever wants to take over waits for the whole
-lease after it has read the newest record, and appends at that end: a renewal in the
-meantime moves the end, and the claim fails. The holder counts its lease from before
-it sent the renewal. So the two never overlap, without any agreement of clocks.
+"""Leader election by a lease: one holder at a time, decided by the order of a log.
+
+The holder performs the duties, which at most one node may perform at a time. A claim
+is a record appended conditionally at the log's known end, so of two concurrent claims
+one fails. The claim's offset gives the fencing token. A successor waits for the whole
+lease after it has read the newest record, and then appends its claim at that end: a
+renewal in the meantime moves the end, and the claim fails. The holder counts its lease
+from before it sent the renewal. So two holders never overlap, and no clocks have to
+agree.
 """
 
 from dataclasses import dataclass, field
@@ -13,7 +15,7 @@
 
 
 class DutyKind(StrEnum):
-    """What a record of the duties' log says."""
+    """Type of a record of the duties' log."""
 
     CLAIM = "claim"
     RENEWAL = "renewal"
@@ -28,16 +30,16 @@
     Attributes
     ----------
     holder : str
-        The node that wrote it.
+        The node that wrote the record.
     incarnation : int
-        Which start of that node.
+        Number of the node's start, which tells its restarts apart.
     fence : int
-        Fencing number of the holder's claim; 0 in the claim itself.
+        Fencing token of the holder's claim; 0 in the claim itself.
     reported : int
-        Newest window of usage that is decided, so that it is known also when the
-        record that decided it is forgotten.
+        Newest usage window that has been decided, so that it is known even after the
+        log has dropped the record that decided it.
     body : dict
-        What the record's kind adds.
+        Fields specific to the record's kind.
     """
 
     kind: DutyKind
@@ -50,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenure:
-    """Who holds the duties, by the newest claim."""
+    """The holder of the duties according to the newest claim."""
 
     holder: str
     incarnation: int
@@ -59,15 +61,15 @@
 
 
 class DutyLog:
-    """What the duties' log says so far, and when this node last saw it move.
+    """The state of the duties' log, and when its end was last seen to change.
 
     Parameters
     ----------
     lease_s : float
-        Time after its last record that a holder may act, seconds.
+        Time for which a holder may act after its last record, in seconds.
     margin_s : float
-        Part of it that the holder leaves unused: its clock may run a little slower
-        than the successor's, and a call takes time to arrive.
+        Part of the lease that the holder leaves unused, in seconds: its clock may run
+        slightly slower than the successor's, and a call takes time to arrive.
     """
 
     def __init__(self, *, lease_s: float, margin_s: float) -> None:
@@ -83,24 +85,26 @@
         self.reported = -1
 
     def see_end(self, end: int, now: float) -> None:
-        """Note the log's end as read at `now`; a log that moved starts the wait.
+        """Record the log's end as read at `now`; a new end restarts the wait.
 
-        It moved before another node told of that end, so the wait counts from then.
+        If another node has reported the same end before, the log had changed by then,
+        so the wait counts from the time of that report.
         """
         if end != self.end or self.moved_at is None:
             self.moved_at = self.peer_end_at if end == self.peer_end else now
         self.end = end
 
     def hear_end(self, end: int, peer_end_at: float) -> None:
-        """Note an end of the log that another node told of at `peer_end_at`."""
+        """Record an end of the log that another node reported at `peer_end_at`."""
         if end > self.peer_end:
             self.peer_end = end
             self.peer_end_at = peer_end_at
 
     def fold(self, offset: int, record: DutyRecord) -> None:
-        """Take over one record, in the log's order.
+        """Fold one record, in the log's order.
 
-        Records of a holder that has lost its tenure are void: they were appended late.
+        Records of a former holder are ignored: they were appended after its tenure had
+        ended.
         """
         if record.kind is DutyKind.CLAIM:
             if self.tenure is not None:
@@ -109,7 +113,7 @@
             self.tenure = Tenure(record.holder, record.incarnation, offset + 1)
             return
         if self.tenure is None:
-            # The claim is forgotten, and what follows it tells as much.
+            # The log no longer keeps the claim; later records name the holder as well.
             self.tenure = Tenure(record.holder, record.incarnation, record.fence)
         if not self._by_holder(record):
             return
@@ -134,10 +138,11 @@
         )
 
     def may_claim(self, node: str, now: float) -> bool:
-        """Return whether `node` may append a claim at the end.
+        """Return whether `node` may append a claim at the log's end.
 
-        After a release nobody has to wait, but for a node that held the duties a
-        short while ago: the platform would see the holders change back and forth.
+        After a release no node has to wait, except one that held the duties recently.
+        Without this exception the platform would see the duties alternate between two
+        holders.
         """
         if self.moved_at is None:
             return False
@@ -153,29 +158,29 @@
 
 @dataclass
 class Lease:
-    """The hold that a node has itself of the duties.
+    """A node's own lease of the duties.
 
     Attributes
     ----------
     fence : int
-        The fencing number; 0 while not held.
+        The fencing token; 0 while the lease is not held.
     until : float
-        Time on the boot clock until which it may act, seconds.
+        End of the lease, in seconds on the boot clock.
     """
 
     fence: int = 0
     until: float = 0.0
 
     def held(self, now: float) -> bool:
-        """Return whether this node may act at `now`."""
+        """Return whether this node may perform the duties at `now`."""
         return self.fence > 0 and now < self.until
 
     def extend(self, fence: int, sent_at: float, log: DutyLog) -> None:
-        """Count the lease from before the record in its favour was sent."""
+        """Extend the lease, counted from before its claim or renewal was sent."""
         self.fence = fence
         self.until = sent_at + log.lease_s - log.margin_s
 
     def drop(self) -> None:
-        """Act no more."""
+        """Give up the lease."""
         self.fence = 0
         self.until = 0.0
--- a/packages/endive_core/tests/test_leases.py
+++ b/packages/endive_core/tests/test_leases.py
@@ -20,8 +20,8 @@
 
 
 def test_a_claim_waits_until_the_holder_must_have_stopped():
-    """A holder dies, or pauses and wakes with its lease in mind. A successor that acts
-    before the lease is over would order servers beside it."""
+    """A holder dies, or is paused and resumes before its lease ends. If a successor
+    acted before the end of the lease, both would order servers."""
     duty_log = make_log()
     duty_log.fold(0, record(DutyKind.CLAIM, "a"))
     duty_log.see_end(1, 10.0)
@@ -34,7 +34,7 @@
     assert not lease.held(claim_at)
 
 
-def test_a_renewal_starts_the_wait_anew():
+def test_a_renewal_restarts_the_wait():
     duty_log = make_log()
     duty_log.fold(0, record(DutyKind.CLAIM, "a"))
     duty_log.see_end(1, 10.0)
@@ -54,8 +54,8 @@
 
 
 def test_a_former_holder_waits_even_after_a_release():
-    """Two nodes stop one after the other. If the first took the duties back at once,
-    the platform would see holders a, b, a within a lease."""
+    """Two nodes release the duties one after the other. If the first claimed them again
+    at once, the platform would see the holders a, b, a within one lease."""
     duty_log = make_log()
     duty_log.fold(0, record(DutyKind.CLAIM, "a"))
     duty_log.fold(1, record(DutyKind.RELEASE, "a", 1))
@@ -75,8 +75,8 @@
 
 
 def test_the_first_record_of_a_window_decides_its_counts():
-    """A holder dies after it recorded a window and before or after it reported it. Its
-    successor must report the same counts, or the platform gets two."""
+    """A holder dies after it recorded a usage window, before or after it reported it.
+    Its successor must report the same counts, or the platform gets two versions."""
     duty_log = make_log()
     duty_log.fold(0, record(DutyKind.CLAIM, "a"))
     duty_log.fold(1, record(DutyKind.USAGE, "a", 1, window=7, counts={"o": 3}))
@@ -96,7 +96,7 @@
     assert not duty_log.tenure.released
 
 
-def test_a_log_that_forgot_its_claim_still_names_the_holder():
+def test_the_holder_is_known_after_the_log_dropped_the_claim():
     duty_log = make_log()
     duty_log.fold(40, DutyRecord(DutyKind.RENEWAL, "a", 1, 12, 6))
     duty_log.see_end(41, 10.0)
@@ -105,9 +105,10 @@
     assert not duty_log.may_claim("b", 10.1)
 
 
-def test_the_wait_counts_from_when_the_log_was_told_to_have_moved():
-    """A holder dies, and a candidate that never read the log takes over. Counted from
-    its first read, servers would not be ordered for three seconds more."""
+def test_the_wait_counts_from_a_peers_report_of_the_same_end():
+    """A holder dies, and a candidate that has not read the log yet takes over. If the
+    wait counted from its first read, no servers would be ordered for another three
+    seconds."""
     duty_log = make_log()
     duty_log.hear_end(1, 10.0)
     duty_log.fold(0, record(DutyKind.CLAIM, "a"))
@@ -116,7 +117,7 @@
     assert duty_log.may_claim("b", 10.0 + LEASE_S + MARGIN_S)
 
 
-def test_a_log_that_moved_on_since_it_was_told_of_starts_the_wait():
+def test_an_end_beyond_the_peers_report_restarts_the_wait():
     duty_log = make_log()
     duty_log.hear_end(1, 10.0)
     duty_log.fold(0, record(DutyKind.CLAIM, "a"))
