--- a/packages/endive_core/src/endive_core/digests.py
+++ b/packages/endive_core/src/endive_core/digests.py
@@ -24,7 +24,7 @@
 )
 
 MAX_FACTS_BYTES = 500
-"""Maximum bytes of facts in a datagram, without which they displace the heartbeats."""
+"""Maximum bytes of facts in a datagram, so that facts cannot displace heartbeats."""
 
 ANNOUNCEMENT_SHARE = 0.4
 ANNOUNCEMENTS_PER_MEMBER = 3
@@ -62,7 +62,7 @@
 
 
 class DigestSource(Protocol):
-    """The state from which datagrams are written; implemented by `Membership`.
+    """The state from which datagrams are written; implemented by ``Membership``.
 
     Attributes
     ----------
