--- a/packages/endive_core/src/endive_core/handover.py
+++ b/packages/endive_core/src/endive_core/handover.py
@@ -53,8 +53,7 @@
         Seconds after which the receiver may consider the sender dead and start an
         idempotent request without confirmation that the sender has stopped it.
     claim : dict
-        State of the claim of a non-idempotent request, in the form of the claims'
-        code.
+        State of the claim of a non-idempotent request.
     """
 
     head: RequestHead
--- a/packages/endive_core/src/endive_core/leases.py
+++ b/packages/endive_core/src/endive_core/leases.py
@@ -1,12 +1,12 @@
 """Leader election by a lease: one holder at a time, decided by the order of a log.
 
-The holder performs the duties, which at most one node may perform at a time. A claim
-is a record appended conditionally at the log's known end, so of two concurrent claims
-one fails. The claim's offset gives the fencing token. A successor waits for the whole
-lease after it has read the newest record, and then appends its claim at that end: a
-renewal in the meantime moves the end, and the claim fails. The holder counts its lease
-from before it sent the renewal. So two holders never overlap, and no clocks have to
-agree.
+The duties are tasks that at most one node may perform at a time: ordering servers and
+reporting usage. A node claims them by a record that it appends conditionally at the
+log's known end, so of two concurrent claims one fails. The claim's offset gives the
+fencing token. A successor waits for the whole lease after it has read the newest
+record, and then appends its claim at that end: a renewal in the meantime moves the end,
+and the claim fails. The holder counts its lease from before it sent the renewal. So two
+holders never overlap, and no clocks have to agree.
 """
 
 from dataclasses import dataclass, field
