--- a/packages/endive_core/src/endive_core/claims.py
+++ b/packages/endive_core/src/endive_core/claims.py
@@ -1,10 +1,10 @@
 """Claims of the exclusive right to run a non-idempotent request.
 
-Without them two nodes can send the same request to a backend server: the caller
-repeats it while the first node is paused, or after the first node's answer was lost.
-A node appends a claim of the request's key to a log stream before it sends the
-request, and only the node whose claim comes first in the log may send. A claim is
-never taken over by another node, so correctness depends on neither clocks nor leases.
+Without them a request can run twice, sent by two nodes, when its caller repeats it
+while the first node is paused or after the first node's answer was lost. A node appends
+a claim of the request's key to a log stream before it sends the request, and only the
+node whose claim comes first in the log may send. A claim is never taken over by another
+node, so correctness depends on neither clocks nor leases.
 
 Claims are decided by folding the records of one shard's stream in order. Take two
 unreleased claims of one key whose records are less than the window apart: the fold
