--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -7,7 +7,7 @@
 from endive_core.exceptions import RetryReason
 from endive_core.hashing import rendezvous_choice
 from endive_core.messages import ServerView
-from endive_core.shifting import Shift
+from endive_core.stream_moves import StreamMove
 
 RETRY_S = 0.05
 
@@ -87,7 +87,7 @@
         if server_id in self.usable:
             self.usable.remove(server_id)
 
-    def shifts(self, server_id: str, *, seconds_left: float) -> list[Shift]:
+    def plan_moves(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
         """Move nothing: streams break when the server goes."""
         return []
 
--- a/benchmarks/deciders.py
+++ b/benchmarks/deciders.py
@@ -4,7 +4,7 @@
 
 from endive_core.calls import Call, Dispatch, Refusal, Retry, Ticket
 from endive_core.exceptions import RetryReason
-from endive_core.shifting import Shift
+from endive_core.stream_moves import StreamMove
 
 
 class Decider(Protocol):
@@ -46,5 +46,5 @@
     def leaving(self, server_id: str) -> None:
         """Give a server no new work."""
 
-    def shifts(self, server_id: str, *, seconds_left: float) -> list[Shift]:
+    def plan_moves(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
         """Plan how streams leave a server."""
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -128,7 +128,7 @@
     made = make_scheduler(servers, nodes=1)
     for server in made.servers.servers.values():
         server.samples = 10
-    return _timed(lambda: made.outliers.compare(10.0))[0] / 1000
+    return _timed(lambda: made.outliers.update_outliers(10.0))[0] / 1000
 
 
 def ring_ms(servers: int) -> float:
--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -6,19 +6,19 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from endive_core.backlogs import Backlogs, told_tokens
+from endive_core.backlogs import Backlogs, largest_backlogs
 from endive_core.calls import Refusal, Ticket
 from endive_core.capacity import CapacityView, Pool, PoolState, desired_servers
-from endive_core.load_sizing import USED_PART, LoadMeter
+from endive_core.load_sizing import TARGET_UTILISATION, LoadMeter
 from endive_core.messages import ServerView
 from endive_core.policy import Policy
 from endive_core.prefilling import PrefillRate
 from endive_core.routing import Scaling
 from endive_core.scheduler import Scheduler
-from endive_gateway.duties import STEP_S as ORDER_S
-from endive_gateway.ordering import LEAST_NEEDED, UNMEASURED_S
-from endive_gateway.peers import TELL_PER_NODE_S, TELL_S
-from endive_gateway.placing import GATEWAY_POLICY, INTERLEAVED
+from endive_gateway.autoscaling import LOAD_WARM_UP_S, MIN_NEEDED_SERVERS
+from endive_gateway.duties import DUTY_INTERVAL_S as ORDER_S
+from endive_gateway.peers import BROADCAST_INTERVAL_PER_NODE_S, BROADCAST_INTERVAL_S
+from endive_gateway.placing import GATEWAY_POLICY, INTERLEAVING_FACTOR
 
 from experiments.deployment import Deployment
 from experiments.engines import Engine, Stream
@@ -54,7 +54,7 @@
     policy: Policy = GATEWAY_POLICY
     backlogs: bool = True
     learned_rate: bool = True
-    used_part: float = USED_PART
+    used_part: float = TARGET_UTILISATION
 
     def limits(self, **changes) -> "Options":
         """Return the same with other limits."""
@@ -142,7 +142,9 @@
             for _ in range(figures.at_start_in_zone):
                 self._add_engine(zone, reclaimable=False, ready_at=0.0)
         self._list_servers()
-        gap_s = max(TELL_S, TELL_PER_NODE_S * self.deployment.nodes)
+        gap_s = max(
+            BROADCAST_INTERVAL_S, BROADCAST_INTERVAL_PER_NODE_S * self.deployment.nodes
+        )
         for number, node in enumerate(self.nodes):
             self.at(gap_s * number / len(self.nodes), self._tell, node, gap_s)
         zones = self.random.sample(self.zones, len(self.zones))
@@ -197,7 +199,9 @@
         run = self.running[ticket]
         arrival = run.arrival
         engine = self.engines[server]
-        node.work_s += ticket.uncached_tokens * node.rate.token_s / INTERLEAVED
+        node.work_s += (
+            ticket.uncached_tokens * node.rate.seconds_per_token / INTERLEAVING_FACTOR
+        )
         stream = Stream(
             arrival.parts,
             arrival.call.prompt_tokens,
@@ -250,10 +254,10 @@
 
     def _tell(self, node: Node, gap_s: float) -> None:
         loads = node.scheduler.servers.servers.values()
-        told = told_tokens({load.id: load.starting_tokens for load in loads})
+        told = largest_backlogs({load.id: load.starting_tokens for load in loads})
         for other in self.nodes:
             if other is not node:
-                other.backlogs.hear(node.name, told, self.now)
+                other.backlogs.receive(node.name, told, self.now)
         self._pump(node)
         self.at(self.now + gap_s, self._tell, node, gap_s)
 
@@ -324,7 +328,7 @@
                 state.ready += 1
         at_start = len(self.zones) * figures.at_start_in_zone
         needed = self.load.peak() / self.options.used_part
-        if self.now < UNMEASURED_S:
+        if self.now < LOAD_WARM_UP_S:
             needed = max(needed, at_start)
         scaling = Scaling(
             1,
@@ -337,7 +341,7 @@
         return CapacityView(
             scaling,
             pools,
-            max(LEAST_NEEDED, needed),
+            max(MIN_NEEDED_SERVERS, needed),
             self.now,
             refused,
             dict(self.ordered),
--- a/benchmarks/load_model.py
+++ b/benchmarks/load_model.py
@@ -15,7 +15,7 @@
 from endive_core.exceptions import RetryReason
 from endive_core.messages import ServerView
 from endive_core.prefixes import BLOCK_TOKENS
-from endive_core.shifting import ShiftMethod
+from endive_core.stream_moves import MoveMethod
 from load_jobs import Cluster, Job
 
 PUMP_S = 0.01
@@ -321,21 +321,21 @@
     def notice(self, server_id: str, seconds: float) -> None:
         """Learn that a server will be reclaimed; move its streams."""
         self.decider.leaving(server_id)
-        for shift in self.decider.shifts(server_id, seconds_left=seconds):
-            if shift.method is ShiftMethod.FINISH:
+        for shift in self.decider.plan_moves(server_id, seconds_left=seconds):
+            if shift.method is MoveMethod.FINISH:
                 continue
             job = self.jobs[shift.ticket]
-            at = self.model.now + shift.starts_at_s
+            at = self.model.now + shift.start_delay_s
             self.model.at(at, self._shift, job, job.attempt, shift.method)
 
-    def _shift(self, job: Job, attempt: int, method: ShiftMethod) -> None:
+    def _shift(self, job: Job, attempt: int, method: MoveMethod) -> None:
         if job.attempt != attempt or not job.ticket.server:
             return
         server = self.model.servers[job.ticket.server]
         started = server.running.get(job, (0, None))[1] is not None
         job.made = server.stop(job)
         server.start_waiting()
-        job.imported = method is ShiftMethod.EXPORT and started
+        job.imported = method is MoveMethod.EXPORT and started
         job.attempt += 1
         self.decider.moved(job.ticket, self.model.now, tokens=job.made)
         self.pump()
--- a/packages/endive_core/src/endive_core/admission.py
+++ b/packages/endive_core/src/endive_core/admission.py
@@ -11,15 +11,15 @@
 
 from endive_core.calls import Call, Refusal, Stage, Ticket, Tier
 from endive_core.crashes import CrashTable
+from endive_core.estimators import ServiceRate, WaitError
 from endive_core.exceptions import ErrorKind
 from endive_core.policy import Policy
 from endive_core.queueing import FairQueue
 from endive_core.quotas import Quota
-from endive_core.rates import ServiceRate, WaitError
-from endive_core.returning import ReturnTimes
+from endive_core.retry_after import ReturnTimes
 from endive_core.servers import ServerSet
 from endive_core.service_types import ServiceType
-from endive_core.usage import Usage
+from endive_core.slot_usage import Usage
 
 if TYPE_CHECKING:
     from endive_core.resources import Organisation
@@ -110,16 +110,16 @@
     def refusal(self, call: Call, now: float) -> Refusal | None:
         """Return why `call` is refused, or ``None``."""
         if self.crashes.is_poison(call.fingerprint, now):
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
             )
-        if not self.servers.taking:
-            return Refusal.because(ErrorKind.NO_SERVER, "no server takes work")
+        if not self.servers.accepting:
+            return Refusal.from_kind(ErrorKind.NO_SERVER, "no server takes work")
         quota = self.quotas.get(call.organisation)
         if quota is not None:
             wait = quota.wait_s(call.tokens, now, self.servers.nodes)
             if wait > 0:
-                return Refusal.because(
+                return Refusal.from_kind(
                     ErrorKind.LIMIT_EXCEEDED,
                     "the organisation's limit is used up",
                     wait,
@@ -135,7 +135,7 @@
             max_bulk_wait_s=self.policy.max_bulk_wait_s,
         )
         if call.deadline is not None and now + prediction.first_token_s > call.deadline:
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.DEADLINE_EXCEEDED,
                 "the deadline can't be met",
                 max(self.policy.min_retry_after_s, prediction.wait_s),
@@ -154,20 +154,21 @@
             excess_s=max(0.0, prediction.long_wait_s - allowed),
             cost_s=cost_s,
         )
-        return Refusal.because(
+        return Refusal.from_kind(
             ErrorKind.OVERLOADED, "the latency target can't be met now", retry_after
         )
 
     def predict(self, call: Call) -> Prediction:
         """Return when the first token of `call` is expected."""
         slots = max(
-            1.0, self.servers.own_total + len(self.servers.open[Tier.WITHIN_SHARE])
+            1.0,
+            self.servers.own_in_flight + len(self.servers.available[Tier.WITHIN_SHARE]),
         )
         tokens_per_s = slots * self.rate.tokens_per_slot_s
         ahead = self.queue.tokens_ahead(call.rank, call.organisation)
         wait, allowance = ahead / tokens_per_s, 0.0
         tier = self.usage.tier(call)
-        if ahead or not self.servers.open[tier]:
+        if ahead or not self.servers.available[tier]:
             wait += self.rate.held_s / slots
             allowance = self.errors[tier].allowance_s(self.policy.wait_deviations)
         prefill = call.prompt_tokens / self.prefill_tokens_per_s()
--- a/packages/endive_core/src/endive_core/backlogs.py
+++ b/packages/endive_core/src/endive_core/backlogs.py
@@ -33,7 +33,7 @@
         self.by_server: dict[str, dict[str, tuple[float, float]]] = {}
         self.by_node: dict[str, set[str]] = {}
 
-    def hear(self, node: str, tokens: Mapping[str, float], now: float) -> None:
+    def receive(self, node: str, tokens: Mapping[str, float], now: float) -> None:
         """Take over the tokens by server that another node waits for."""
         for server in self.by_node.get(node, set()) - tokens.keys():
             told = self.by_server[server]
@@ -71,7 +71,7 @@
         return max(0.0, total - age_s * tokens_per_s)
 
 
-def told_tokens(tokens: Mapping[str, float]) -> dict[str, float]:
+def largest_backlogs(tokens: Mapping[str, float]) -> dict[str, float]:
     """Return what to tell of this node's own tokens by server."""
     large = {name: count for name, count in tokens.items() if count >= LEAST_TOKENS}
     if len(large) <= MOST_TOLD:
--- a/packages/endive_core/src/endive_core/calls.py
+++ b/packages/endive_core/src/endive_core/calls.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum, StrEnum
 
-from endive_core.exceptions import ANSWERS, ErrorKind
+from endive_core.exceptions import ERROR_RESPONSES, ErrorKind
 from endive_core.prefixes import BLOCK_TOKENS
 
 BULK_LEVEL = -1000
@@ -156,12 +156,12 @@
     message: str
 
     @classmethod
-    def because(
+    def from_kind(
         cls, kind: ErrorKind, message: str, retry_after_s: float | None = None
     ) -> "Refusal":
         """Return a refusal; the table's time to come back if none is known better."""
         if retry_after_s is None:
-            retry_after_s = ANSWERS[kind].retry_after_s
+            retry_after_s = ERROR_RESPONSES[kind].retry_after_s
         return cls(kind, retry_after_s, message)
 
 
--- a/packages/endive_core/src/endive_core/capacity.py
+++ b/packages/endive_core/src/endive_core/capacity.py
@@ -72,7 +72,7 @@
 
 
 @dataclass
-class Refused:
+class PoolBackoff:
     """A pool that had nothing to give when it was last asked."""
 
     until: float
--- a/packages/endive_core/src/endive_core/catalogue.py
+++ b/packages/endive_core/src/endive_core/catalogue.py
@@ -74,7 +74,7 @@
     def _put(self, stored: StoredResource) -> None:
         self.versions[(stored.kind, stored.name)] = stored.version
         resource = Resource.model_validate(stored.body)
-        self._table(stored.kind)[stored.name] = resource.parsed()
+        self._table(stored.kind)[stored.name] = resource.parse_spec()
 
     def named(self, kind: str, name: str):
         """Return the parsed spec of a resource, or ``None``."""
--- a/packages/endive_core/src/endive_core/claims.py
+++ b/packages/endive_core/src/endive_core/claims.py
@@ -21,20 +21,20 @@
 from endive_core.hashing import shard_of
 from endive_core.records import Claim, Release
 
-SHARDS = 32
+CLAIM_SHARDS = 32
 """Number of log streams that claims are sharded over. A key must map to the same stream
 on every node, so this is a constant and not a setting. With 320 appends per second
 shared by 32 writers, each writer appends every 0.1 s. If an eighth of 27,000 requests
 per second need a claim, each writer handles about 100 claims per second."""
 
-WINDOW_S = 3600.0
+CLAIM_WINDOW_S = 3600.0
 """Default time for which a claim holds its key, in seconds. A writer's memory limits
 it: every claim within the window takes less than a kilobyte there."""
 
 
 def claim_shard(key: str) -> int:
     """Return the shard whose stream contains the claims of `key`."""
-    return shard_of(key, SHARDS)
+    return shard_of(key, CLAIM_SHARDS)
 
 
 class ClaimVerdict(StrEnum):
@@ -92,11 +92,11 @@
         The highest offset folded; -1 before the first record.
     """
 
-    def __init__(self, window_s: float = WINDOW_S) -> None:
+    def __init__(self, window_s: float = CLAIM_WINDOW_S) -> None:
         self.window_s = window_s
         self.offset = -1
         self.entries: OrderedDict[str, _Entry] = OrderedDict()
-        self.live: dict[str, tuple[Claim, ...]] = {}
+        self.unreleased: dict[str, tuple[Claim, ...]] = {}
         self.released: OrderedDict[str, float] = OrderedDict()
 
     def apply(
@@ -135,23 +135,26 @@
             entry = _Entry(time, claim, *self._verdict(claim))
             self.entries[claim.claim_id] = entry
             if entry.verdict is not ClaimVerdict.VOID:
-                self.live[claim.key] = (*self.live.get(claim.key, ()), claim)
+                self.unreleased[claim.key] = (
+                    *self.unreleased.get(claim.key, ()),
+                    claim,
+                )
         return entry.outcome()
 
     def _verdict(self, claim: Claim) -> tuple[ClaimVerdict, Claim | None]:
         if claim.claim_id in self.released:
             return ClaimVerdict.VOID, None
-        others = self.live.get(claim.key)
+        others = self.unreleased.get(claim.key)
         if others:
             return ClaimVerdict.LOST, others[0]
         return ClaimVerdict.WON, None
 
     def _unblock(self, key: str, claim_id: str) -> None:
-        left = tuple(c for c in self.live.get(key, ()) if c.claim_id != claim_id)
+        left = tuple(c for c in self.unreleased.get(key, ()) if c.claim_id != claim_id)
         if left:
-            self.live[key] = left
+            self.unreleased[key] = left
         else:
-            self.live.pop(key, None)
+            self.unreleased.pop(key, None)
 
     def _expire(self, before: float) -> None:
         # Without expiry a writer's memory grows with every claim ever made, and a node
--- a/packages/endive_core/src/endive_core/clocks.py
+++ b/packages/endive_core/src/endive_core/clocks.py
@@ -23,7 +23,7 @@
     at: float
 
 
-class TrueTime:
+class ClusterClock:
     """The time of day that most nodes agree on.
 
     Parameters
@@ -37,7 +37,7 @@
         self.wall = wall
         self.readings: dict[str, Reading] = {}
 
-    def hear(self, node: str, wall: float) -> None:
+    def receive(self, node: str, wall: float) -> None:
         """Take over another node's time of day, a network delay old."""
         now = self.steady()
         self.readings[node] = Reading(wall - now, now)
--- a/packages/endive_core/src/endive_core/digests.py
+++ b/packages/endive_core/src/endive_core/digests.py
@@ -15,8 +15,8 @@
     DATAGRAM_BYTES,
     DIGEST_HEAD_BYTES,
     HEARTBEAT_BYTES,
-    Beat,
     Digest,
+    Heartbeat,
     Member,
     fact_size,
     member_key,
@@ -168,7 +168,7 @@
             known.last_sent = self.datagram_number
             known.times_sent += 1
             member = known.member
-            beat = Beat(
+            beat = Heartbeat(
                 member_key(member),
                 member.heartbeat,
                 member.state,
--- a/packages/endive_core/src/endive_core/suspicions.py
+++ b/packages/endive_core/src/endive_core/ejection.py
@@ -48,7 +48,7 @@
     length_s: float
 
 
-class Suspicions:
+class ClusterEjection:
     """Counts failures by server, here and at the other nodes."""
 
     def __init__(self) -> None:
@@ -60,21 +60,21 @@
         """Count a failure that this node met at `server`."""
         self.own.append((now, server))
 
-    def tell(self, now: float) -> dict[str, int]:
+    def own_counts(self, now: float) -> dict[str, int]:
         """Return this node's failures of late by server, for the other nodes."""
         while self.own and self.own[0][0] < now - WINDOW_S:
             self.own.popleft()
         counts = Counter(server for _, server in self.own)
         return dict(counts.most_common(MOST_TOLD))
 
-    def hear(self, node: str, counts: Mapping[str, int], now: float) -> None:
+    def receive(self, node: str, counts: Mapping[str, int], now: float) -> None:
         """Take over another node's failures of late."""
         if counts:
             self.told[node] = (now, counts)
         else:
             self.told.pop(node, None)
 
-    def suspects(self, servers: Collection[str], now: float) -> set[str]:
+    def ejected(self, servers: Collection[str], now: float) -> set[str]:
         """Return those of `servers` that get no work for now."""
         totals, nodes = self._totals(servers, now)
         total = sum(totals.values())
@@ -102,7 +102,7 @@
                 continue
             totals.update({s: n for s, n in counts.items() if s in known})
             nodes.update(known & counts.keys())
-        own = {s: n for s, n in self.tell(now).items() if s in known}
+        own = {s: n for s, n in self.own_counts(now).items() if s in known}
         totals.update(own)
         nodes.update(own.keys())
         return totals, nodes
--- a/packages/endive_core/src/endive_core/exceptions.py
+++ b/packages/endive_core/src/endive_core/exceptions.py
@@ -1,7 +1,7 @@
 """The closed list of error kinds, the table from kind to answer, and the exceptions.
 
 Everything that can go wrong for a caller or an operator is one :class:`ErrorKind`.
-The table :data:`ANSWERS` says once, for all of the code, which HTTP status a kind
+The table :data:`ERROR_RESPONSES` says once, for all of the code, which HTTP status a kind
 gets, whether the request ran, and when it is worth coming back.
 """
 
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class ErrorResponse:
     """How one error kind is told to a caller.
 
     Attributes
@@ -75,38 +75,38 @@
 
 _NO, _UNKNOWN, _YES = Executed.NO, Executed.UNKNOWN, Executed.YES
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.MALFORMED_BODY: Answer(400, _NO),
-    ErrorKind.UNKNOWN_FIELD: Answer(400, _NO),
-    ErrorKind.INVALID_FIELD: Answer(400, _NO),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, _NO),
-    ErrorKind.UNAUTHENTICATED: Answer(401, _NO),
-    ErrorKind.FORBIDDEN: Answer(403, _NO),
-    ErrorKind.NOT_FOUND: Answer(404, _NO),
-    ErrorKind.UNKNOWN_MODEL: Answer(404, _NO),
-    ErrorKind.UNKNOWN_REQUEST: Answer(404, _UNKNOWN, 1.0),
-    ErrorKind.INVALID_RESOURCE: Answer(422, _NO),
-    ErrorKind.VERSION_CONFLICT: Answer(409, _NO),
-    ErrorKind.WATCH_TOO_OLD: Answer(410, _NO),
-    ErrorKind.KEY_REQUIRED: Answer(400, _NO),
-    ErrorKind.KEY_REUSED: Answer(422, _NO),
-    ErrorKind.KEY_EXPIRED: Answer(409, _UNKNOWN),
-    ErrorKind.DUPLICATE_REQUEST: Answer(409, _UNKNOWN, 1.0),
-    ErrorKind.LIMIT_EXCEEDED: Answer(429, _NO, 1.0),
-    ErrorKind.OVERLOADED: Answer(503, _NO, 1.0),
-    ErrorKind.DEADLINE_EXCEEDED: Answer(504, _NO, 1.0),
-    ErrorKind.NO_SERVER: Answer(503, _NO, 2.0),
-    ErrorKind.RETRY_BUDGET_SPENT: Answer(503, _UNKNOWN, 5.0),
-    ErrorKind.LOG_UNAVAILABLE: Answer(503, _NO, 5.0),
-    ErrorKind.NOT_READY: Answer(503, _NO, 1.0),
-    ErrorKind.STOPPING: Answer(503, _NO, 1.0),
-    ErrorKind.MOVED: Answer(503, _UNKNOWN, 0.5),
-    ErrorKind.POISON_REQUEST: Answer(422, _UNKNOWN),
-    ErrorKind.BACKEND_REJECTED: Answer(502, _NO),
-    ErrorKind.BACKEND_FAILED: Answer(502, _UNKNOWN, 1.0),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(502, _UNKNOWN),
-    ErrorKind.CANCELLED: Answer(499, _UNKNOWN),
-    ErrorKind.INTERNAL: Answer(500, _UNKNOWN, 1.0),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.MALFORMED_BODY: ErrorResponse(400, _NO),
+    ErrorKind.UNKNOWN_FIELD: ErrorResponse(400, _NO),
+    ErrorKind.INVALID_FIELD: ErrorResponse(400, _NO),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(413, _NO),
+    ErrorKind.UNAUTHENTICATED: ErrorResponse(401, _NO),
+    ErrorKind.FORBIDDEN: ErrorResponse(403, _NO),
+    ErrorKind.NOT_FOUND: ErrorResponse(404, _NO),
+    ErrorKind.UNKNOWN_MODEL: ErrorResponse(404, _NO),
+    ErrorKind.UNKNOWN_REQUEST: ErrorResponse(404, _UNKNOWN, 1.0),
+    ErrorKind.INVALID_RESOURCE: ErrorResponse(422, _NO),
+    ErrorKind.VERSION_CONFLICT: ErrorResponse(409, _NO),
+    ErrorKind.WATCH_TOO_OLD: ErrorResponse(410, _NO),
+    ErrorKind.KEY_REQUIRED: ErrorResponse(400, _NO),
+    ErrorKind.KEY_REUSED: ErrorResponse(422, _NO),
+    ErrorKind.KEY_EXPIRED: ErrorResponse(409, _UNKNOWN),
+    ErrorKind.DUPLICATE_REQUEST: ErrorResponse(409, _UNKNOWN, 1.0),
+    ErrorKind.LIMIT_EXCEEDED: ErrorResponse(429, _NO, 1.0),
+    ErrorKind.OVERLOADED: ErrorResponse(503, _NO, 1.0),
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(504, _NO, 1.0),
+    ErrorKind.NO_SERVER: ErrorResponse(503, _NO, 2.0),
+    ErrorKind.RETRY_BUDGET_SPENT: ErrorResponse(503, _UNKNOWN, 5.0),
+    ErrorKind.LOG_UNAVAILABLE: ErrorResponse(503, _NO, 5.0),
+    ErrorKind.NOT_READY: ErrorResponse(503, _NO, 1.0),
+    ErrorKind.STOPPING: ErrorResponse(503, _NO, 1.0),
+    ErrorKind.MOVED: ErrorResponse(503, _UNKNOWN, 0.5),
+    ErrorKind.POISON_REQUEST: ErrorResponse(422, _UNKNOWN),
+    ErrorKind.BACKEND_REJECTED: ErrorResponse(502, _NO),
+    ErrorKind.BACKEND_FAILED: ErrorResponse(502, _UNKNOWN, 1.0),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(502, _UNKNOWN),
+    ErrorKind.CANCELLED: ErrorResponse(499, _UNKNOWN),
+    ErrorKind.INTERNAL: ErrorResponse(500, _UNKNOWN, 1.0),
 }
 """The answer for each kind; a test checks that no kind is missing."""
 
@@ -180,7 +180,7 @@
         self.message = message
         self.details = details or {}
         self.request_id = ""
-        answer = ANSWERS[kind]
+        answer = ERROR_RESPONSES[kind]
         self.status = answer.status
         self.executed = answer.executed
         self.retry_after_s = (
--- a/packages/endive_core/src/endive_core/expiry.py
+++ b/packages/endive_core/src/endive_core/expiry.py
@@ -49,10 +49,10 @@
         message: str,
         retry_after_s: float | None = None,
     ) -> None:
-        """Give up one queued call; see :meth:`Refusal.because`."""
+        """Give up one queued call; see :meth:`Refusal.from_kind`."""
         self.queue.cancel(ticket)
         self.admission.end(ticket)
-        ticket.refusal = Refusal.because(kind, message, retry_after_s)
+        ticket.refusal = Refusal.from_kind(kind, message, retry_after_s)
         self.refusals[kind] += 1
         self.expired.append(ticket)
 
@@ -88,7 +88,7 @@
         Servers may be replaced within seconds of a reclaim; after that a caller is
         better told that its request was not run than left waiting.
         """
-        if self.servers.taking:
+        if self.servers.accepting:
             self.no_server_since = None
             return
         if self.no_server_since is None:
--- a/packages/endive_core/src/endive_core/failures.py
+++ b/packages/endive_core/src/endive_core/failures.py
@@ -19,7 +19,7 @@
 """Crashes whose suspects are kept while their broken streams come in one by one."""
 
 
-class Failures:
+class FailureHandler:
     """Decides after each failed attempt: pause the server, blame, retry or refuse.
 
     The load this is for: a server, a zone, or every server fails. Callers meet it as
@@ -53,7 +53,7 @@
             )
         return self.budgets[deployment]
 
-    def suspect(self, ticket: Ticket, crashed: str, now: float) -> None:
+    def attribute_crash(self, ticket: Ticket, crashed: str, now: float) -> None:
         """Count a server's crash against `ticket` if it may have caused it."""
         if crashed and self._is_blamed(ticket, crashed):
             self.crashes.add(Crash(ticket.call.fingerprint, crashed, now))
@@ -77,7 +77,9 @@
                 del self.blamed[next(iter(self.blamed))]
         return ticket in self.blamed[crashed]
 
-    def blame(self, server: ServerLoad, reason: RetryReason, now: float) -> None:
+    def penalise_server(
+        self, server: ServerLoad, reason: RetryReason, now: float
+    ) -> None:
         """Give a server that failed no work for a while."""
         if reason is RetryReason.SERVER_BUSY:
             self.servers.busy(server)
@@ -88,14 +90,14 @@
             self.paused.append(server)
             self.paused.sort(key=lambda paused: paused.view.failed_until)
 
-    def resume(self, now: float) -> None:
+    def resume_paused(self, now: float) -> None:
         """Give paused servers work again whose time is over."""
         while self.paused and self.paused[0].view.failed_until <= now:
             server = self.paused.pop(0)
             server.paused = False
             self.servers.refresh(server)
 
-    def verdict(
+    def decide_retry(
         self,
         ticket: Ticket,
         now: float,
@@ -118,23 +120,23 @@
     ) -> Refusal | None:
         call = ticket.call
         if self.crashes.is_poison(call.fingerprint, now):
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
             )
         if call.non_idempotent and started:
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.OUTCOME_UNKNOWN,
                 "the server may have run the request; it is not sent again",
             )
         if ticket.attempt >= max_attempts or self.servers.all_tried(ticket.avoid):
             kind = ErrorKind.BACKEND_FAILED if started else ErrorKind.NO_SERVER
-            return Refusal.because(kind, "all attempts failed")
+            return Refusal.from_kind(kind, "all attempts failed")
         # The budget is for work that is repeated. What was never started cost next to
         # nothing, and a zone's dead servers would use it up for streams they broke.
         if started and not self.budget(call.deployment).spend(
-            in_flight=self.servers.own_total
+            in_flight=self.servers.own_in_flight
         ):
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.RETRY_BUDGET_SPENT, "too many calls are being sent again"
             )
         return None
--- a/packages/endive_core/src/endive_core/first_tokens.py
+++ b/packages/endive_core/src/endive_core/first_tokens.py
@@ -6,9 +6,9 @@
 """
 
 from endive_core.calls import Ticket
+from endive_core.estimators import ServiceRate
 from endive_core.outliers import OutlierDetector
 from endive_core.prefilling import PrefillRate
-from endive_core.rates import ServiceRate
 from endive_core.servers import ServerLoad, ServerSet
 
 RATES_EVERY_S = 1.0
@@ -16,7 +16,7 @@
 twenty."""
 
 
-class FirstTokens:
+class FirstTokenLearner:
     """Learns from first tokens, and lets the other decisions reckon with it.
 
     Attributes
@@ -38,7 +38,7 @@
         self.prefill = prefill
         self.next_rates_at = 0.0
 
-    def take_rate(self, now: float) -> None:
+    def update_prefill_rates(self, now: float) -> None:
         """Let placement and admission reckon with the rate; one pass over all."""
         if self.prefill is None or now < self.next_rates_at:
             return
--- a/packages/endive_core/src/endive_core/fold.py
+++ b/packages/endive_core/src/endive_core/fold.py
@@ -155,7 +155,7 @@
         """Return the resource in force, or ``None``."""
         return self.resources.get((kind, name))
 
-    def listed(self, kind: str) -> list[StoredResource]:
+    def of_kind(self, kind: str) -> list[StoredResource]:
         """Return all resources of `kind`, sorted by name."""
         found = [r for r in self.resources.values() if r.kind == kind]
         return sorted(found, key=lambda r: r.name)
--- a/packages/endive_core/src/endive_core/freshness.py
+++ b/packages/endive_core/src/endive_core/freshness.py
@@ -71,7 +71,7 @@
         since = self.started_at if self.proven_at is None else self.proven_at
         return since + part * self.bound_s
 
-    def turns_s(self, nodes: int) -> float:
+    def retry_delay_s(self, nodes: int) -> float:
         """Return after how long a node repeats a check that got no answer.
 
         Parameters
--- a/packages/endive_core/src/endive_core/handover.py
+++ b/packages/endive_core/src/endive_core/handover.py
@@ -15,7 +15,7 @@
 from endive_core.messages import Endpoint, Request
 
 ROUTE_CHARACTERS = 16
-CANDIDATES = 3
+LOOKUP_CANDIDATES = 3
 """Number of members that are asked first: the best one and two more, since the member
 lists of two nodes may differ by one or two nodes that have just joined or left."""
 
@@ -128,7 +128,7 @@
     return request_id.rpartition(".")[0]
 
 
-def targets(
+def handover_targets(
     route: str,
     members: Iterable[Member],
     *,
@@ -152,7 +152,7 @@
 
 
 @dataclass(frozen=True)
-class Departure:
+class PendingTransfer:
     """The properties of one request that determine the order of the transfers."""
 
     request_id: str
@@ -161,7 +161,7 @@
     waiting: bool
 
 
-def departure_order(departures: Iterable[Departure]) -> list[str]:
+def transfer_order(departures: Iterable[PendingTransfer]) -> list[str]:
     """Return request ids in the order in which their records are sent.
 
     The node may be killed earlier than announced, so the records sent first are the
--- a/packages/endive_core/src/endive_core/history.py
+++ b/packages/endive_core/src/endive_core/history.py
@@ -101,7 +101,7 @@
             self.oldest = gone.version
             self.size -= gone.size
 
-    def restart(self, version: int) -> None:
+    def reset(self, version: int) -> None:
         """Clear the history after the fold was replaced by a snapshot at `version`.
 
         The single changes before the snapshot are unknown on this node, so a watch
--- a/packages/endive_core/src/endive_core/leases.py
+++ b/packages/endive_core/src/endive_core/leases.py
@@ -84,7 +84,7 @@
         self.usage: dict[int, dict[str, int]] = {}
         self.reported = -1
 
-    def see_end(self, end: int, now: float) -> None:
+    def observe_end(self, end: int, now: float) -> None:
         """Record the log's end as read at `now`; a new end restarts the wait.
 
         If another node has reported the same end before, the log had changed by then,
@@ -94,7 +94,7 @@
             self.moved_at = self.peer_end_at if end == self.peer_end else now
         self.end = end
 
-    def hear_end(self, end: int, peer_end_at: float) -> None:
+    def observe_peer_end(self, end: int, peer_end_at: float) -> None:
         """Record an end of the log that another node reported at `peer_end_at`."""
         if end > self.peer_end:
             self.peer_end = end
--- a/packages/endive_core/src/endive_core/lifecycle.py
+++ b/packages/endive_core/src/endive_core/lifecycle.py
@@ -58,7 +58,7 @@
     REFUSE = "refuse"
 
 
-UNSENT = frozenset({State.ACCEPTED, State.QUEUED, State.CLAIMING, State.CLAIMED})
+UNSENT_STATES = frozenset({State.ACCEPTED, State.QUEUED, State.CLAIMING, State.CLAIMED})
 FINAL_STATES = frozenset(
     {State.HANDED_OVER, State.FINISHED, State.FAILED, State.REFUSED}
 )
@@ -81,7 +81,7 @@
     sent_before: bool = False
 
 
-TABLE = compile_chart(
+REQUEST_TABLE = compile_chart(
     load_chart("request"),
     [Flags(*values) for values in product((False, True), repeat=2)],
 )
@@ -111,7 +111,7 @@
 
     def allows(self, event: Event) -> bool:
         """Return whether the chart allows `event` in the current state."""
-        return (self.flags, self.state, event) in TABLE
+        return (self.flags, self.state, event) in REQUEST_TABLE
 
     def fire(self, event: Event) -> State:
         """Make the transition for `event` and return the new state.
@@ -121,7 +121,7 @@
         IllegalEventError
             If the chart does not allow the event; the state is unchanged then.
         """
-        step = TABLE.get((self.flags, self.state, event))
+        step = REQUEST_TABLE.get((self.flags, self.state, event))
         if step is None:
             raise IllegalEventError(
                 f"event {event} not allowed in request state {self.state} "
@@ -138,7 +138,7 @@
             return Executed.YES
         if self.state is State.REFUSED:
             return Executed.NO
-        if self.state in UNSENT and not self.flags.sent_before:
+        if self.state in UNSENT_STATES and not self.flags.sent_before:
             return Executed.NO
         return Executed.UNKNOWN
 
--- a/packages/endive_core/src/endive_core/counting.py
+++ b/packages/endive_core/src/endive_core/limit_coordination.py
@@ -31,28 +31,28 @@
 rounds of datagrams then go out for each allowance that is spent."""
 
 
-ASKING_NODES = 20
+MAX_NODES_WITHOUT_GRANTS = 20
 """Nodes up to which none is asked. They tell each other all spending five times a
 second, and together let through less unheard than operators tolerate."""
 
-ASK_S = 0.1
+GRANT_TIMEOUT_S = 0.1
 """Longest wait for the answer of the node that adds up, seconds. It takes two ways of
 the network, some milliseconds; a caller's target is a tenth of a second and more."""
 
-UNASKED_S = 3.0
+COORDINATOR_BACKOFF_S = 3.0
 """Time for which a node that did not answer isn't asked again, seconds: another one
 adds up. By then it is heard again, or no longer listed."""
 
-MOST_ASKED = 2
+MAX_GRANT_ATTEMPTS = 2
 """Nodes asked for one request, one after the other. Two that add up for an organisation
 are seldom gone together, and a caller within its limit then waits for 0.1 s longer."""
 
-ASK_AGAIN_S = 0.2
+GRANT_RETRY_AFTER_S = 0.2
 """Time after which a caller may come back that was refused since nobody answered,
 seconds: a third node is asked then."""
 
 
-def may_spend_unasked(units: float, *, left: float, nodes: int) -> bool:
+def may_spend_without_grant(units: float, *, left: float, nodes: int) -> bool:
     """Return whether a node may spend `units` before any other has heard of it.
 
     Parameters
@@ -65,12 +65,12 @@
     return units * nodes <= left
 
 
-def counting_node(organisation: str, nodes: Iterable[str]) -> str:
+def coordinator_for(organisation: str, nodes: Iterable[str]) -> str:
     """Return the node that adds up for `organisation`; all nodes choose the same."""
     return rendezvous_choice(organisation, list(nodes))
 
 
-class SpendingCount:
+class UnsentSpending:
     """What the counting node knows of and has not told all others.
 
     Attributes
@@ -80,12 +80,12 @@
     """
 
     def __init__(self) -> None:
-        self.untold: dict[str, dict[str, float]] = {}
+        self.unsent: dict[str, dict[str, float]] = {}
 
     def add(self, organisation: str, node: str, units: float) -> None:
         """Count `units` that `node` has spent."""
         if units > 0:
-            by_node = self.untold.setdefault(organisation, {})
+            by_node = self.unsent.setdefault(organisation, {})
             by_node[node] = by_node.get(node, 0.0) + units
 
     def take_due(self, organisation: str, *, left: float, most: float) -> list[str]:
@@ -96,9 +96,9 @@
         left, most : float
             Units of the allowance that are left, and what it holds when full.
         """
-        by_node = self.untold.get(organisation)
+        by_node = self.unsent.get(organisation)
         if not by_node or left >= TELL_BELOW * most:
             return []
         if sum(by_node.values()) < TELL_EACH * most:
             return []
-        return list(self.untold.pop(organisation))
+        return list(self.unsent.pop(organisation))
--- a/packages/endive_core/src/endive_core/load_sizing.py
+++ b/packages/endive_core/src/endive_core/load_sizing.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-USED_PART = 0.85
+TARGET_UTILISATION = 0.85
 """Part of a server's time that the highest load of late may use. Above it prompts queue
 behind one another and first tokens come late."""
 
--- a/packages/endive_core/src/endive_core/members.py
+++ b/packages/endive_core/src/endive_core/members.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """The fields of a member that change often, identified by :func:`member_key`."""
 
     member: int
@@ -93,7 +93,7 @@
 
     sender: Member
     highest_offset: int = -1
-    beats: list[Beat] = field(default_factory=list)
+    beats: list[Heartbeat] = field(default_factory=list)
     members: list[Member] = field(default_factory=list)
     facts: list[Fact] = field(default_factory=list)
     wanted: list[int] = field(default_factory=list)
--- a/packages/endive_core/src/endive_core/membership.py
+++ b/packages/endive_core/src/endive_core/membership.py
@@ -13,8 +13,8 @@
 from endive_core.digests import ANNOUNCEMENTS_PER_MEMBER, DigestWriter, KnownMember
 from endive_core.facts import FactTable
 from endive_core.members import (
-    Beat,
     Digest,
+    Heartbeat,
     Member,
     MemberState,
     member_key,
@@ -254,12 +254,14 @@
     def receiver(self) -> str | None:
         """Choose the gossip address to which the next datagram is sent."""
         members = [k.member.gossip_address for k in self.known.values()]
-        strangers = self.strangers()
-        if strangers and (not members or self.random.random() < UNKNOWN_ADDRESS_SHARE):
-            return self.random.choice(strangers)
+        unknown_addresses = self.unknown_addresses()
+        if unknown_addresses and (
+            not members or self.random.random() < UNKNOWN_ADDRESS_SHARE
+        ):
+            return self.random.choice(unknown_addresses)
         return self.random.choice(members) if members else None
 
-    def strangers(self) -> list[str]:
+    def unknown_addresses(self) -> list[str]:
         """Return the seeds and removed addresses that belong to no known member."""
         heard_of = {known.member.gossip_address for known in self.known.values()}
         heard_of.add(self.me.gossip_address)
@@ -324,7 +326,7 @@
         elif not self._is_tombstoned(member.id, member.logical_time):
             self._add(member)
 
-    def _merge_heartbeat(self, beat: Beat) -> None:
+    def _merge_heartbeat(self, beat: Heartbeat) -> None:
         member_id = self.ids.get(beat.member)
         if member_id == self.me.id:
             return
@@ -360,7 +362,7 @@
         tombstone = self.tombstones.get(member_id)
         return tombstone is not None and logical_time <= tombstone[0].logical_time
 
-    def _is_tombstoned_heartbeat(self, member_id: str, beat: Beat) -> bool:
+    def _is_tombstoned_heartbeat(self, member_id: str, beat: Heartbeat) -> bool:
         tombstone = self.tombstones.get(member_id)
         return tombstone is not None and beat.heartbeat <= tombstone[0].heartbeat
 
--- a/packages/endive_core/src/endive_core/metering.py
+++ b/packages/endive_core/src/endive_core/metering.py
@@ -12,7 +12,7 @@
 late makes up for some."""
 
 
-class Meter:
+class UsageMeter:
     """Counts of this node and, as told, of the others.
 
     Parameters
@@ -37,11 +37,11 @@
         for old in sorted(self.own)[:-WINDOWS_KEPT]:
             del self.own[old]
 
-    def tell(self) -> dict[int, dict[str, int]]:
+    def own_totals(self) -> dict[int, dict[str, int]]:
         """Return this node's counts of the last two windows."""
         return {window: dict(self.own[window]) for window in sorted(self.own)[-2:]}
 
-    def hear(
+    def receive(
         self, node: str, incarnation: int, counts: dict[int, dict[str, int]]
     ) -> None:
         """Take over another node's counts; they only grow within one incarnation."""
--- a/packages/endive_core/src/endive_core/outliers.py
+++ b/packages/endive_core/src/endive_core/outliers.py
@@ -8,9 +8,9 @@
 
 from statistics import median
 
+from endive_core.ejection import ClusterEjection
 from endive_core.policy import Policy
 from endive_core.servers import ServerLoad, ServerSet
-from endive_core.suspicions import Suspicions
 
 MIN_SAMPLES = 5
 """Latencies before a server is judged; one slow call proves nothing."""
@@ -55,8 +55,8 @@
         self.servers = servers
         self.next_at = 0.0
         self.slow: list[ServerLoad] = []
-        self.suspicions: Suspicions | None = None
-        self.suspects: set[str] = set()
+        self.ejection: ClusterEjection | None = None
+        self.ejected: set[str] = set()
 
     def observe(self, server: ServerLoad, *, seconds: float, expected_s: float) -> None:
         """Take in one latency of `server`."""
@@ -77,7 +77,7 @@
         """
         self.observe(server, seconds=FAILED_RATIO, expected_s=1.0)
 
-    def compare(self, now: float) -> None:
+    def update_outliers(self, now: float) -> None:
         """Set each server's slowness, if it is time to; costs one pass over all.
 
         At most a share of the servers is marked: with most of them "slow" the cause
@@ -100,18 +100,18 @@
         worst = sorted(judged, key=lambda s: s.slowness, reverse=True)
         for position, server in enumerate(worst):
             slow = position < most and server.slowness >= self.policy.slow_ratio
-            self._mark(server, slow or server.id in self.suspects, now)
+            self._mark(server, slow or server.id in self.ejected, now)
 
     def _suspect(self, now: float) -> None:
         """Mark the servers that fail under all nodes together."""
-        if self.suspicions is None:
+        if self.ejection is None:
             return
-        before = self.suspects
-        self.suspects = self.suspicions.suspects(self.servers.servers.keys(), now)
-        for server_id in before ^ self.suspects:
+        before = self.ejected
+        self.ejected = self.ejection.ejected(self.servers.servers.keys(), now)
+        for server_id in before ^ self.ejected:
             server = self.servers.servers.get(server_id)
             if server is not None:
-                self._mark(server, server_id in self.suspects, now)
+                self._mark(server, server_id in self.ejected, now)
 
     def _mark(self, server: ServerLoad, slow: bool, now: float) -> None:
         if slow == server.slow:
@@ -126,7 +126,7 @@
         for server in self.slow:
             if self.servers.servers.get(server.id) is not server:
                 continue
-            if server.id in self.suspects:
+            if server.id in self.ejected:
                 continue
             if not server.view.leaving and now >= server.next_probe_at:
                 server.next_probe_at = now + self.policy.probe_every_s
--- a/packages/endive_core/src/endive_core/placement.py
+++ b/packages/endive_core/src/endive_core/placement.py
@@ -108,7 +108,7 @@
         self, ticket: Ticket, names: list[str], tier: Tier
     ) -> list[ServerLoad]:
         found = self._within_bound(names, tier)
-        found += self.servers.open[tier].sample(
+        found += self.servers.available[tier].sample(
             self.policy.random_candidates, self.random.randrange
         )
         allowed = [s for s in found if self._allowed(ticket, s, tier)]
@@ -117,7 +117,7 @@
         return self._all_allowed(ticket, tier)
 
     def _all_allowed(self, ticket: Ticket, tier: Tier) -> list[ServerLoad]:
-        open_servers = self.servers.open[tier].items
+        open_servers = self.servers.available[tier].items
         return [s for s in open_servers if self._allowed(ticket, s, tier)]
 
     def _allowed(self, ticket: Ticket, server: ServerLoad, tier: Tier) -> bool:
@@ -134,7 +134,7 @@
 
         The bound keeps one popular prefix from filling its server while others idle.
         """
-        open_servers = self.servers.open[tier].positions
+        open_servers = self.servers.available[tier].positions
         bound = self.policy.load_bound * self.servers.mean_utilisation
         found = []
         for name in names:
@@ -193,7 +193,9 @@
         free = max(0, view.max_concurrent - server.load)
         return waiting + self.policy.crowding_s / (1 + free)
 
-    def soonest(self, ticket: Ticket, now: float, tier: Tier) -> ServerLoad | None:
+    def earliest_server(
+        self, ticket: Ticket, now: float, tier: Tier
+    ) -> ServerLoad | None:
         """Return the server with room that would begin a call first, if any has room.
 
         A few candidates are enough to find a short wait, not to say that there is none:
@@ -203,7 +205,7 @@
         allowed = self._all_allowed(ticket, tier)
         return min(allowed, key=lambda s: self.wait_s(s, now), default=None)
 
-    def outlook(self, ticket: Ticket, server: ServerLoad, now: float) -> Outlook:
+    def predict_start(self, ticket: Ticket, server: ServerLoad, now: float) -> Outlook:
         """Return what a call may expect at `server`.
 
         The load this is for: reclaims leave fewer servers than the load needs. Engines
@@ -227,7 +229,7 @@
         if deadline is None:
             return Outlook(0.0, yields)
         if yields:
-            begins_s += self.servers.yielding_at(server) / rate
+            begins_s += self.servers.yielding_tokens_at(server) / rate
         return Outlook(max(0.0, now + begins_s - deadline), yields)
 
     def _yields(
--- a/packages/endive_core/src/endive_core/prefilling.py
+++ b/packages/endive_core/src/endive_core/prefilling.py
@@ -55,7 +55,9 @@
     def learn(self, tokens: float, seconds: float) -> None:
         """Take in the time to a first token of a prompt with `tokens` to compute."""
         if self.samples:
-            expected = self.mean_s + (tokens - self.mean_tokens) * self.token_s
+            expected = (
+                self.mean_s + (tokens - self.mean_tokens) * self.seconds_per_token
+            )
             bound = max(LEAST_BOUND_S, MOST_TIMES_EXPECTED * expected)
             seconds = min(seconds, bound)
         self.samples = min(self.samples + 1, 1 / MEMORY)
@@ -68,7 +70,7 @@
         self.covariance = kept * (self.covariance + weight * off_tokens * off_s)
 
     @property
-    def token_s(self) -> float:
+    def seconds_per_token(self) -> float:
         """Seconds by which one more token to compute delays the first token."""
         prior = PRIOR_SAMPLES * PRIOR_DEVIATION_TOKENS**2
         learned = self.samples * self.covariance + prior * self.prior_s
@@ -78,4 +80,4 @@
     @property
     def tokens_per_s(self) -> float:
         """The same as a rate."""
-        return 1 / self.token_s
+        return 1 / self.seconds_per_token
--- a/packages/endive_core/src/endive_core/prefixes.py
+++ b/packages/endive_core/src/endive_core/prefixes.py
@@ -107,7 +107,7 @@
                 self.old.pop(block, None)
                 self.young[block] = tuple(h for h in holders if h != server)
 
-    def event(
+    def apply_event(
         self, server: str, seq: int, *, stored: bool, blocks: Sequence[int]
     ) -> None:
         """Take over one cache event of `server`; one seen before does nothing."""
--- a/packages/endive_core/src/endive_core/resources.py
+++ b/packages/endive_core/src/endive_core/resources.py
@@ -147,7 +147,7 @@
     owner: Name
     spec: dict[str, Any] = {}
 
-    def parsed(self) -> _Spec:
+    def parse_spec(self) -> _Spec:
         """Return the spec parsed by the model of its kind."""
         return SPECS[self.kind].model_validate(self.spec)
 
@@ -162,7 +162,7 @@
         """
         try:
             resource = cls.model_validate(body)
-            spec = resource.parsed().model_dump(mode="json")
+            spec = resource.parse_spec().model_dump(mode="json")
         except ValidationError as error:
             raise EndiveError(
                 ErrorKind.INVALID_RESOURCE,
--- a/packages/endive_core/src/endive_core/routing.py
+++ b/packages/endive_core/src/endive_core/routing.py
@@ -60,7 +60,7 @@
     pause_s: float = 1.0
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a request that may have run may be sent once more."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrganisationTerms:
+class OrganisationLimits:
     """What one organisation may send.
 
     Attributes
@@ -174,7 +174,7 @@
     version: int
     routes: tuple[Route, ...]
     services: Mapping[str, Service]
-    organisations: Mapping[str, OrganisationTerms] | None
+    organisations: Mapping[str, OrganisationLimits] | None
     keys: Mapping[str, str]
     limits: CallerLimits = CallerLimits()
     by_host: dict[str, dict[str, Route]] = field(default_factory=dict)
--- a/packages/endive_core/src/endive_core/scheduler.py
+++ b/packages/endive_core/src/endive_core/scheduler.py
@@ -14,8 +14,8 @@
 from endive_core.crashes import CrashTable
 from endive_core.exceptions import ErrorKind, RetryReason
 from endive_core.expiry import Expiry
-from endive_core.failures import Failures
-from endive_core.first_tokens import FirstTokens
+from endive_core.failures import FailureHandler
+from endive_core.first_tokens import FirstTokenLearner
 from endive_core.messages import ServerView
 from endive_core.outliers import OutlierDetector
 from endive_core.placement import Placement
@@ -24,8 +24,8 @@
 from endive_core.queueing import FairQueue
 from endive_core.servers import Random, ServerLoad, ServerSet
 from endive_core.service_types import ServiceType
-from endive_core.shifting import Shift, plan_shifts
-from endive_core.usage import Usage
+from endive_core.slot_usage import Usage
+from endive_core.stream_moves import StreamMove, plan_moves
 
 if TYPE_CHECKING:
     from endive_core.resources import Deployment, Organisation
@@ -73,10 +73,10 @@
         self.admission = Admission(
             policy, self.servers, self.queue, self.usage, self.crashes, service_type
         )
-        self.first_tokens = FirstTokens(
+        self.first_tokens = FirstTokenLearner(
             self.servers, self.admission.rate, self.outliers, prefill
         )
-        self.failures = Failures(policy, self.servers, self.crashes, random)
+        self.failures = FailureHandler(policy, self.servers, self.crashes, random)
         self.running = self.failures.running
         self.refusals: Counter[ErrorKind] = Counter()
         self.expiry = Expiry(
@@ -119,7 +119,9 @@
         self, server_id: str, seq: int, *, stored: bool, blocks: list[int]
     ) -> None:
         """Take over one cache event of a server."""
-        self.placement.prefixes.event(server_id, seq, stored=stored, blocks=blocks)
+        self.placement.prefixes.apply_event(
+            server_id, seq, stored=stored, blocks=blocks
+        )
 
     def leaving(self, server_id: str) -> None:
         """Give a server no new work any more."""
@@ -154,7 +156,7 @@
         """
         if self.crashes.is_poison(call.fingerprint, now):
             self.refusals[ErrorKind.POISON_REQUEST] += 1
-            return Refusal.because(
+            return Refusal.from_kind(
                 ErrorKind.POISON_REQUEST, "servers crashed while running this request"
             )
         return self._enter(call, now)
@@ -187,15 +189,15 @@
         self, ticket: Ticket, server: ServerLoad, now: float
     ) -> ServerLoad | None:
         """Return `server`, a sooner one if it would be late, or give the call up."""
-        outlook = self.placement.outlook(ticket, server, now)
-        if outlook.late_s:
+        prediction = self.placement.predict_start(ticket, server, now)
+        if prediction.late_s:
             tier = self.usage.tier(ticket.call)
-            server = self.placement.soonest(ticket, now, tier) or server
-            outlook = self.placement.outlook(ticket, server, now)
-        if outlook.late_s:
-            self.expiry.expire_late(ticket, outlook.late_s)
+            server = self.placement.earliest_server(ticket, now, tier) or server
+            prediction = self.placement.predict_start(ticket, server, now)
+        if prediction.late_s:
+            self.expiry.expire_late(ticket, prediction.late_s)
             return None
-        ticket.yields = outlook.yields
+        ticket.yields = prediction.yields
         return server
 
     def _server_for(self, ticket: Ticket, now: float) -> ServerLoad | None:
@@ -208,9 +210,9 @@
         return self.placement.choose(ticket, now, tier)
 
     def _tick(self, now: float) -> None:
-        self.first_tokens.take_rate(now)
-        self.outliers.compare(now)
-        self.failures.resume(now)
+        self.first_tokens.update_prefill_rates(now)
+        self.outliers.update_outliers(now)
+        self.failures.resume_paused(now)
         self.expiry.expire_without_servers(now)
 
     def close(self) -> None:
@@ -230,14 +232,14 @@
         ticket.attempt += 1
         ticket.dispatched_at = now
         ticket.first_token_at = None
-        self.servers.note_prompt(
+        self.servers.adjust_prefill_backlog(
             server, 1, ticket.uncached_tokens, yields=ticket.yields
         )
         self.placement.pace(server, ticket.uncached_tokens, now)
         server.starting_suspects += ticket.suspect
         self.usage.take(ticket.call.organisation)
         self.running.setdefault(server.id, set()).add(ticket)
-        self.servers.note(server, 1, now)
+        self.servers.adjust_in_flight(server, 1, now)
         if ticket.call.blocks:
             self.placement.prefixes.add(server.id, ticket.call.blocks)
 
@@ -251,7 +253,7 @@
         ticket.first_token_at = now
         server = self._load_of(ticket)
         if server is not None:
-            self.servers.answered(server)
+            self.servers.record_success(server)
             self._no_longer_starting(ticket, server)
         self.first_tokens.learn(
             ticket,
@@ -261,7 +263,7 @@
         )
 
     def _no_longer_starting(self, ticket: Ticket, server: ServerLoad) -> None:
-        self.servers.note_prompt(
+        self.servers.adjust_prefill_backlog(
             server, -1, ticket.uncached_tokens, yields=ticket.yields
         )
         server.starting_suspects -= ticket.suspect
@@ -305,22 +307,22 @@
             If the server crashed: its name with the number of its incarnation.
         """
         server = self._load_of(ticket)
-        self.failures.suspect(ticket, crashed, now)
+        self.failures.attribute_crash(ticket, crashed, now)
         if reason is not RetryReason.SERVER_BUSY:
             ticket.avoid.add(ticket.server)
         self._release(ticket, now)
         self._blame(server, now, reason, started=started)
-        verdict = self.failures.verdict(
+        decision = self.failures.decide_retry(
             ticket, now, started=started, max_attempts=max_attempts
         )
-        if isinstance(verdict, Refusal):
-            self.refusals[verdict.kind] += 1
+        if isinstance(decision, Refusal):
+            self.refusals[decision.kind] += 1
             self.admission.end(ticket)
         else:
             self.retries[reason] += 1
-        return verdict
+        return decision
 
-    def blame(
+    def count_failure(
         self, ticket: Ticket, now: float, reason: RetryReason, *, started: bool
     ) -> None:
         """Count a failed attempt against its server though there is no further one.
@@ -340,7 +342,7 @@
     ) -> None:
         if server is None:
             return
-        self.failures.blame(server, reason, now)
+        self.failures.penalise_server(server, reason, now)
         if started and reason is not RetryReason.SERVER_LEAVING:
             self.outliers.failed(server)
 
@@ -349,13 +351,13 @@
         ticket.stage = Stage.QUEUED
         self.queue.push(ticket, front=True)
 
-    def shifts(self, server_id: str, *, seconds_left: float) -> list[Shift]:
+    def plan_moves(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
         """Return how this node's streams leave a server under notice.
 
         The node stops each at the source, then calls :meth:`moved`.
         """
         server = self.servers.servers[server_id]
-        return plan_shifts(
+        return plan_moves(
             self.running.get(server_id, ()),
             seconds_left=seconds_left,
             decode_tokens_per_s=server.view.decode_tokens_per_s,
@@ -385,5 +387,5 @@
         if server is not None:
             if ticket.stage is Stage.DISPATCHED:
                 self._no_longer_starting(ticket, server)
-            self.servers.note(server, -1, now)
+            self.servers.adjust_in_flight(server, -1, now)
         ticket.server = ""
--- a/packages/endive_core/src/endive_core/servers.py
+++ b/packages/endive_core/src/endive_core/servers.py
@@ -107,7 +107,7 @@
         """Return the free slots beyond those that the nodes divide."""
         return self.free - self.change - self.divided - self.reserved[tier]
 
-    def note(self, sign: int, now: float) -> None:
+    def adjust_in_flight(self, sign: int, now: float) -> None:
         """Count an own send (+1) or end (-1) at `now`."""
         self.changes.append((now, sign))
         self.change += sign
@@ -136,10 +136,10 @@
         self.divided_share = divided_share
         self.giving_way = giving_way
         self.servers: dict[str, ServerLoad] = {}
-        self.open = {tier: MemberList() for tier in Tier}
-        self.taking = MemberList()
+        self.available = {tier: MemberList() for tier in Tier}
+        self.accepting = MemberList()
         self.nodes = 1
-        self.own_total = 0
+        self.own_in_flight = 0
         self.change_total = 0
         self.reported_total = 0
         self.slots_total = 0
@@ -172,10 +172,10 @@
         view = server.view
         self.servers.pop(view.id)
         self.reported_total -= view.reported_running + view.reported_waiting
-        self.own_total -= view.in_flight
+        self.own_in_flight -= view.in_flight
         self.change_total -= server.change
         self.yielding_total -= server.yielding_tokens
-        for members in (*self.open.values(), self.taking):
+        for members in (*self.available.values(), self.accepting):
             members.discard(server)
 
     @property
@@ -187,14 +187,14 @@
         this node's part of the reported load. What was sent since the reports is left
         out on both sides: the others' is not known.
         """
-        own = max(0, self.own_total - self.change_total)
+        own = max(0, self.own_in_flight - self.change_total)
         total = max(own, self.reported_total)
         return min(1.0, (own + 1) / (total + self.nodes))
 
     @property
     def mean_utilisation(self) -> float:
         """Load over slots of all servers."""
-        total = max(self.own_total, self.reported_total)
+        total = max(self.own_in_flight, self.reported_total)
         return total / self.slots_total if self.slots_total else 0.0
 
     def report(
@@ -241,14 +241,14 @@
         view.reported_waiting = waiting + max(0, server.free - server.change)
         self.refresh(server)
 
-    def note(self, server: ServerLoad, sign: int, now: float) -> None:
+    def adjust_in_flight(self, server: ServerLoad, sign: int, now: float) -> None:
         """Count an own send or end at `server`."""
-        server.note(sign, now)
-        self.own_total += sign
+        server.adjust_in_flight(sign, now)
+        self.own_in_flight += sign
         self.change_total += sign
         self.refresh(server)
 
-    def note_prompt(
+    def adjust_prefill_backlog(
         self, server: ServerLoad, sign: int, tokens: float, *, yields: bool
     ) -> None:
         """Count the tokens of a prompt sent (+1), or of one begun or ended (-1)."""
@@ -258,7 +258,7 @@
         else:
             server.starting_tokens += sign * tokens
 
-    def yielding_at(self, server: ServerLoad) -> float:
+    def yielding_tokens_at(self, server: ServerLoad) -> float:
         """Return the tokens at `server` that give way, of all nodes.
 
         Others' aren't told. All of theirs are taken to be as many as their part of all
@@ -266,7 +266,7 @@
         of theirs, with many nodes and servers.
         """
         others = self.yielding_total * (1 / self.share - 1)
-        return server.yielding_tokens + others / max(1, len(self.taking))
+        return server.yielding_tokens + others / max(1, len(self.accepting))
 
     def has_room(self, server: ServerLoad, tier: Tier) -> bool:
         """Return whether this node may send a call of `tier` to `server` now."""
@@ -300,13 +300,13 @@
         of requests after each pause.
         """
         server.failures += 1
-        if server.paused or (len(self.taking) == 1 and not server.view.leaving):
+        if server.paused or (len(self.accepting) == 1 and not server.view.leaving):
             return False
         server.paused = True
         self.refresh(server)
         return True
 
-    def answered(self, server: ServerLoad) -> None:
+    def record_success(self, server: ServerLoad) -> None:
         """Note that a server works."""
         if server.failures:
             server.failures = 0
@@ -314,9 +314,9 @@
 
     def all_tried(self, tried: set[str]) -> bool:
         """Return whether every server that takes work is among `tried`."""
-        if len(tried) < len(self.taking):
+        if len(tried) < len(self.accepting):
             return False
-        return all(server.id in tried for server in self.taking.items)
+        return all(server.id in tried for server in self.accepting.items)
 
     def refresh(self, server: ServerLoad) -> None:
         """Put `server` into or out of the lists of servers with room.
@@ -326,14 +326,14 @@
         """
         if self.servers.get(server.id) is not server:
             return
-        taking = not (server.view.leaving or server.paused)
-        if taking:
-            self.taking.add(server)
+        accepting = not (server.view.leaving or server.paused)
+        if accepting:
+            self.accepting.add(server)
         else:
-            self.taking.discard(server)
+            self.accepting.discard(server)
         trying = server.failures > 0 and server.view.in_flight > 0
-        usable = taking and not server.slow and not trying
-        for tier, members in self.open.items():
+        usable = accepting and not server.slow and not trying
+        for tier, members in self.available.items():
             room = server.granted(tier) > 0 or server.plenty(tier) > 0
             if usable and room:
                 members.add(server)
--- a/packages/endive_core/src/endive_core/sharing.py
+++ b/packages/endive_core/src/endive_core/shared_limits.py
@@ -15,7 +15,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-SILENT_S = 0.9
+SILENCE_TIMEOUT_S = 0.9
 """A node unheard for longer may be cut off and go on spending. Its even part of each
 limit is left to it, so that the sides of a cut together stay within the limit. Four
 tellings may be lost in a row before that."""
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spender:
+class SpendingOrigin:
     """A node that spends, at the moment at which it told of it.
 
     Attributes
@@ -84,10 +84,10 @@
     """
 
     spent: dict[str, float] = field(default_factory=dict)
-    noted: dict[str, tuple[int, float]] = field(default_factory=dict)
+    last_updates: dict[str, tuple[int, float]] = field(default_factory=dict)
     incarnation: int = 0
     heard_at: float = 0.0
-    born_at: float = 0.0
+    started_at: float = 0.0
 
 
 @dataclass
@@ -129,18 +129,20 @@
 
     def __init__(self, now: float = 0.0, *, slack: float = 0.0) -> None:
         self.slack = slack
-        self.silent_s = SILENT_S
+        self.silence_timeout_s = SILENCE_TIMEOUT_S
         self.begun_at = now - HEAD_START_S
         self.spent: dict[str, float] = {}
         self.peers: dict[str, PeerSpending] = {}
         self.allowances: dict[str, Allowance] = {}
         self.kept: dict[str, Allowance] = {}
 
-    def tell(self) -> dict[str, float]:
+    def own_totals(self) -> dict[str, float]:
         """Return what this node has spent since it started, by organisation."""
         return self.spent
 
-    def hear(self, spender: Spender, spent: Mapping[str, float], now: float) -> None:
+    def receive(
+        self, spender: SpendingOrigin, spent: Mapping[str, float], now: float
+    ) -> None:
         """Take over what another node has spent since it started."""
         peer = self._known(spender)
         if peer is None:
@@ -148,13 +150,13 @@
             peer = self._learn(spender, before, now)
         peer.heard_at = now
         for organisation, units in spent.items():
-            told_at, noted = peer.noted.get(organisation, (0, 0.0))
+            told_at, noted = peer.last_updates.get(organisation, (0, 0.0))
             if spender.tellings <= told_at:
                 units = max(units, noted)
             self._take(peer, organisation, units)
 
-    def note(
-        self, spender: Spender, organisation: str, units: float, now: float
+    def apply_update(
+        self, spender: SpendingOrigin, organisation: str, units: float, now: float
     ) -> float:
         """Take over what another node has spent of one limit; return what is new of it.
 
@@ -167,32 +169,32 @@
                 return 0.0
             peer = self._learn(spender, {}, now)
         newest = (spender.tellings, units)
-        if newest <= peer.noted.get(organisation, (0, 0.0)):
+        if newest <= peer.last_updates.get(organisation, (0, 0.0)):
             return 0.0
-        peer.noted[organisation] = newest
+        peer.last_updates[organisation] = newest
         return self._take(
             peer, organisation, max(units, peer.spent.get(organisation, 0.0))
         )
 
-    def _known(self, spender: Spender) -> PeerSpending | None:
+    def _known(self, spender: SpendingOrigin) -> PeerSpending | None:
         peer = self.peers.get(spender.node)
         if peer is None or peer.incarnation != spender.incarnation:
             return None
         return peer
 
     def _learn(
-        self, spender: Spender, spent: dict[str, float], now: float
+        self, spender: SpendingOrigin, spent: dict[str, float], now: float
     ) -> PeerSpending:
         peer = PeerSpending(
             spent,
             incarnation=spender.incarnation,
             heard_at=now,
-            born_at=now - spender.age_s,
+            started_at=now - spender.age_s,
         )
         self.peers[spender.node] = peer
         return peer
 
-    def _is_young(self, spender: Spender, now: float) -> bool:
+    def _is_young(self, spender: SpendingOrigin, now: float) -> bool:
         return now - spender.age_s >= self.begun_at - YOUNG_S
 
     def _take(self, peer: PeerSpending, organisation: str, units: float) -> float:
@@ -203,7 +205,7 @@
             self._allowance(organisation).units -= new
         return new
 
-    def expect(self, node: str, now: float) -> None:
+    def add_peer(self, node: str, now: float) -> None:
         """Count a node that is known to be there, though it was not heard yet.
 
         It gets the usual time to be heard: after a power loss all nodes start within
@@ -211,20 +213,20 @@
         """
         self.peers.setdefault(node, PeerSpending(heard_at=now))
 
-    def leave(self, node: str) -> None:
+    def remove_peer(self, node: str) -> None:
         """Divide the part of a node that said it has stopped."""
         self.peers.pop(node, None)
 
-    def forget_silent(self, now: float) -> None:
+    def remove_silent_peers(self, now: float) -> None:
         """Divide the parts of nodes that are gone for good."""
         for node, peer in list(self.peers.items()):
             if now - peer.heard_at > FORGOTTEN_S:
                 del self.peers[node]
 
-    def part(self, now: float) -> float:
+    def reachable_share(self, now: float) -> float:
         """Return the part of each limit for the nodes that hear each other."""
         silent = sum(
-            now - peer.heard_at > self.silent_s for peer in self.peers.values()
+            now - peer.heard_at > self.silence_timeout_s for peer in self.peers.values()
         )
         nodes = len(self.peers) + 1
         return (nodes - silent) / nodes
@@ -269,7 +271,7 @@
 
     def grant(
         self,
-        spender: Spender,
+        spender: SpendingOrigin,
         organisation: str,
         total: float,
         now: float,
@@ -292,22 +294,22 @@
         left, _ = self.left(organisation, now, rate=rate, burst=burst)
         if left <= 0:
             return self._until_some(left, rate, now)
-        return 0.0 if self.note(spender, organisation, total, now) > 0 else None
+        return 0.0 if self.apply_update(spender, organisation, total, now) > 0 else None
 
     def _until_some(self, left: float, rate: float, now: float) -> float:
-        return 0.001 - left / (rate * self.part(now))
+        return 0.001 - left / (rate * self.reachable_share(now))
 
     def left(
         self, organisation: str, now: float, *, rate: float, burst: float
     ) -> tuple[float, float]:
         """Return the units left of a limit, and what it holds when full."""
-        part = self.part(now)
+        part = self.reachable_share(now)
         most = (burst + SLACK_PART * self.slack) * part
         allowance = self._allowance(organisation)
         allowance.refill(now, rate=rate * part, burst=most)
         return allowance.units, most
 
-    def give_back(self, organisation: str, units: float) -> None:
+    def refund(self, organisation: str, units: float) -> None:
         """Return what a request took that was not run after all."""
         self.spend(organisation, -units)
 
--- a/packages/endive_core/src/endive_core/usage.py
+++ b/packages/endive_core/src/endive_core/slot_usage.py
@@ -57,13 +57,13 @@
         What the others leave, but at least its share.
         """
         slots = self.slots()
-        held = self.servers.own_total - self.held[organisation]
+        held = self.servers.own_in_flight - self.held[organisation]
         return max(1.0, slots - held, slots * self._share_now(organisation))
 
     def slots(self) -> float:
         """Return this node's part of all slots."""
         part = max(self.servers.share, 1 / self.servers.nodes)
-        return max(self.servers.own_total, self.servers.slots_total * part)
+        return max(self.servers.own_in_flight, self.servers.slots_total * part)
 
     def _share_now(self, organisation: str) -> float:
         """Return the organisation's share among those that hold slots now."""
--- a/packages/endive_core/src/endive_core/shifting.py
+++ b/packages/endive_core/src/endive_core/stream_moves.py
@@ -13,7 +13,7 @@
 from endive_core.calls import Ticket
 
 
-class ShiftMethod(StrEnum):
+class MoveMethod(StrEnum):
     """How a stream leaves its server."""
 
     EXPORT = "export"
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shift:
+class StreamMove:
     """One stream's way off a server under notice.
 
     Attributes
@@ -32,8 +32,8 @@
     """
 
     ticket: Ticket
-    method: ShiftMethod
-    starts_at_s: float = 0.0
+    method: MoveMethod
+    start_delay_s: float = 0.0
 
 
 def recompute_tokens(ticket: Ticket) -> int:
@@ -41,14 +41,14 @@
     return ticket.call.prompt_tokens + ticket.tokens
 
 
-def plan_shifts(
+def plan_moves(
     tickets: Iterable[Ticket],
     *,
     seconds_left: float,
     decode_tokens_per_s: float,
     export_tokens_per_s: float,
     margin_s: float,
-) -> list[Shift]:
+) -> list[StreamMove]:
     """Return how each stream of one server leaves it, in the order to act.
 
     A stream that ends within the time left finishes in place. The others are exported
@@ -58,24 +58,24 @@
     source stopped; else it stays and finishes if it can.
     """
     budget = max(0.0, seconds_left - margin_s)
-    finishing: list[Shift] = []
+    finishing: list[StreamMove] = []
     moving: list[Ticket] = []
     for ticket in tickets:
         left = ticket.call.max_tokens - ticket.tokens
         if left / decode_tokens_per_s <= budget:
-            finishing.append(Shift(ticket, ShiftMethod.FINISH))
+            finishing.append(StreamMove(ticket, MoveMethod.FINISH))
         else:
             moving.append(ticket)
     moving.sort(key=recompute_tokens, reverse=True)
-    shifts = []
+    moves = []
     used = 0.0
     for ticket in moving:
         takes = recompute_tokens(ticket) / export_tokens_per_s
         if used + takes <= budget:
-            shifts.append(Shift(ticket, ShiftMethod.EXPORT, used))
+            moves.append(StreamMove(ticket, MoveMethod.EXPORT, used))
             used += takes
         elif ticket.call.non_idempotent:
-            finishing.append(Shift(ticket, ShiftMethod.FINISH))
+            finishing.append(StreamMove(ticket, MoveMethod.FINISH))
         else:
-            shifts.append(Shift(ticket, ShiftMethod.RESUME))
-    return shifts + finishing
+            moves.append(StreamMove(ticket, MoveMethod.RESUME))
+    return moves + finishing
--- a/packages/endive_core/tests/test_backlogs.py
+++ b/packages/endive_core/tests/test_backlogs.py
@@ -3,7 +3,7 @@
 
 import pytest
 from core_builders import call, dispatch_all, view
-from endive_core.backlogs import FORGOTTEN_S, MOST_TOLD, Backlogs, told_tokens
+from endive_core.backlogs import FORGOTTEN_S, MOST_TOLD, Backlogs, largest_backlogs
 from endive_core.calls import Call
 from endive_core.policy import Policy
 from endive_core.scheduler import Scheduler
@@ -18,8 +18,8 @@
 
 def test_what_a_node_told_is_taken_off_as_the_server_computes():
     made = Backlogs()
-    made.hear("a", {"s1": 30_000.0}, 10.0)
-    made.hear("b", {"s1": 9_000.0, "s2": 2_000.0}, 10.0)
+    made.receive("a", {"s1": 30_000.0}, 10.0)
+    made.receive("b", {"s1": 9_000.0, "s2": 2_000.0}, 10.0)
     assert made.tokens("s1", 10.0, RATE) == 39_000.0
     assert made.tokens("s1", 10.5, RATE) == pytest.approx(19_500.0)
     assert made.tokens("s1", 11.5, RATE) == 0.0
@@ -28,11 +28,11 @@
 
 def test_the_newest_telling_of_a_node_replaces_its_last():
     made = Backlogs()
-    made.hear("a", {"s1": 5_000.0, "s2": 1_000.0}, 10.0)
-    made.hear("a", {"s1": 2_000.0}, 10.2)
+    made.receive("a", {"s1": 5_000.0, "s2": 1_000.0}, 10.0)
+    made.receive("a", {"s1": 2_000.0}, 10.2)
     assert made.tokens("s1", 10.2, RATE) == 2_000.0
     assert made.tokens("s2", 10.2, RATE) == 0.0
-    made.hear("a", {}, 10.4)
+    made.receive("a", {}, 10.4)
     assert not made.by_server
 
 
@@ -40,29 +40,29 @@
     """It was killed in the middle of a long prompt. Its server would look busy for as
     long as nobody says otherwise."""
     made = Backlogs()
-    made.hear("a", {"s1": 1e9}, 10.0)
+    made.receive("a", {"s1": 1e9}, 10.0)
     assert made.tokens("s1", 10.0 + FORGOTTEN_S, RATE) == 0.0
 
 
 def test_a_prompt_told_at_once_counts_until_the_next_telling():
     made = Backlogs()
-    made.hear("a", {"s1": 2_000.0}, 10.0)
+    made.receive("a", {"s1": 2_000.0}, 10.0)
     made.add("a", "s1", 50_000.0, 10.1)
     made.add("b", "s2", 20_000.0, 10.1)
     assert made.tokens("s1", 10.1, RATE) == 52_000.0
     assert made.tokens("s2", 10.1, RATE) == 20_000.0
-    made.hear("a", {"s1": 40_000.0}, 10.3)
-    made.hear("b", {}, 10.3)
+    made.receive("a", {"s1": 40_000.0}, 10.3)
+    made.receive("b", {}, 10.3)
     assert made.tokens("s1", 10.3, RATE) == 40_000.0
     assert made.tokens("s2", 10.3, RATE) == 0.0
 
 
 def test_few_and_large_ones_are_told():
     own = {f"s{n}": 1_000.0 + n for n in range(100)} | {"small": 10.0}
-    told = told_tokens(own)
+    told = largest_backlogs(own)
     assert len(told) == MOST_TOLD
     assert min(told.values()) == 1_000.0 + 100 - MOST_TOLD
-    assert told_tokens({"small": 10.0}) == {}
+    assert largest_backlogs({"small": 10.0}) == {}
 
 
 def late_part(*, telling: bool, seconds: float = 60.0) -> float:
@@ -111,7 +111,7 @@
             own = {load.id: load.starting_tokens for load in loads}
             for other in range(NODES):
                 if telling and other != given:
-                    backlogs[other].hear(str(given), told_tokens(own), now)
+                    backlogs[other].receive(str(given), largest_backlogs(own), now)
     return late / asked
 
 
--- a/packages/endive_core/tests/test_claims.py
+++ b/packages/endive_core/tests/test_claims.py
@@ -64,7 +64,7 @@
         table.apply(2 * n + 1, float(n), Release(f"c{n}", f"key-{n}"))
     assert len(table.entries) <= 11
     assert len(table.released) <= 11
-    assert not table.live
+    assert not table.unreleased
 
 
 def test_claim_withdrawn_before_the_decision_is_never_used():
--- a/packages/endive_core/tests/test_clocks.py
+++ b/packages/endive_core/tests/test_clocks.py
@@ -1,4 +1,4 @@
-from endive_core.clocks import HEARD_S, TrueTime
+from endive_core.clocks import HEARD_S, ClusterClock
 
 
 class Clocks:
@@ -7,7 +7,7 @@
         self.wall = 1_000_000.0
 
     def made(self):
-        return TrueTime(lambda: self.steady, lambda: self.wall)
+        return ClusterClock(lambda: self.steady, lambda: self.wall)
 
 
 def test_a_clock_that_jumped_is_outvoted():
@@ -16,7 +16,7 @@
     clocks = Clocks()
     made = clocks.made()
     for node in "abc":
-        made.hear(node, 1_000_000.1)
+        made.receive(node, 1_000_000.1)
     clocks.wall += 2400.0
     assert abs(made.now() - 1_000_000.1) < 0.2
 
@@ -25,15 +25,15 @@
     clocks = Clocks()
     made = clocks.made()
     for node, wall in zip("abc", (1_000_000.0, 1_002_400.0, 1_000_000.2), strict=True):
-        made.hear(node, wall)
+        made.receive(node, wall)
     assert abs(made.now() - 1_000_000.1) < 0.2
 
 
 def test_a_node_that_is_gone_has_no_vote():
     clocks = Clocks()
     made = clocks.made()
-    made.hear("a", 5.0)
-    made.hear("b", 5.0)
+    made.receive("a", 5.0)
+    made.receive("b", 5.0)
     clocks.steady += HEARD_S + 1
     clocks.wall += HEARD_S + 1
     assert made.now() == clocks.wall
--- a/packages/endive_core/tests/test_suspicions.py
+++ b/packages/endive_core/tests/test_ejection.py
@@ -1,7 +1,7 @@
 from random import Random
 
 import pytest
-from endive_core.suspicions import (
+from endive_core.ejection import (
     HOLD_S,
     LEAST_FAILURES,
     LEAST_SERVERS,
@@ -9,7 +9,7 @@
     MOST_TOLD,
     RATIO,
     WINDOW_S,
-    Suspicions,
+    ClusterEjection,
 )
 
 SERVERS = [f"s{number}" for number in range(45)]
@@ -32,7 +32,7 @@
 def failures_of(nodes, *, telling, seconds=8.0, each_s=0.001):
     """Play `nodes` before servers of which four fail all; return the failed share."""
     random = Random(7)
-    fleet = [Suspicions() for _ in range(nodes)]
+    fleet = [ClusterEjection() for _ in range(nodes)]
     suspects = [set() for _ in fleet]
     asked = lost = 0
     for tick in range(int(seconds / each_s)):
@@ -40,14 +40,14 @@
         number = random.randrange(nodes)
         if telling and tick % int(TELL_S / nodes / each_s + 1) == 0:
             teller = (tick // int(TELL_S / nodes / each_s + 1)) % nodes
-            told = fleet[teller].tell(now)
+            told = fleet[teller].own_counts(now)
             for other in range(nodes):
                 if other != teller:
-                    fleet[other].hear(str(teller), told, now)
+                    fleet[other].receive(str(teller), told, now)
         if tick % 50 == 0:
-            suspects[number] = fleet[number].suspects(SERVERS, now)
+            suspects[number] = fleet[number].ejected(SERVERS, now)
             for other in range(nodes):
-                suspects[other] = fleet[other].suspects(SERVERS, now)
+                suspects[other] = fleet[other].ejected(SERVERS, now)
         open_ = [s for s in SERVERS if s not in suspects[number]]
         server = random.choice(open_)
         asked += 1
@@ -66,62 +66,62 @@
 
 
 def test_one_nodes_failures_alone_suspect_nobody():
-    made = Suspicions()
+    made = ClusterEjection()
     failed(made, "s1", 50)
-    assert made.suspects(SERVERS, 10.1) == set()
+    assert made.ejected(SERVERS, 10.1) == set()
 
 
 def test_where_all_servers_fail_alike_none_is_suspected():
     """A fault that all share, such as bad requests, would else leave the load to a few
     servers, one after the other."""
-    made = Suspicions()
-    made.hear("b", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
-    made.hear("c", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
-    made.hear("d", {"s1": int(RATIO)}, 10.0)
-    assert made.suspects(SERVERS, 10.1) == set()
+    made = ClusterEjection()
+    made.receive("b", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
+    made.receive("c", dict.fromkeys(SERVERS, LEAST_FAILURES), 10.0)
+    made.receive("d", {"s1": int(RATIO)}, 10.0)
+    assert made.ejected(SERVERS, 10.1) == set()
 
 
 def test_at_most_a_part_of_the_servers_is_suspected():
-    made = Suspicions()
-    made.hear("b", dict.fromkeys(SERVERS[:8], 1000), 10.0)
-    made.hear("c", dict.fromkeys(SERVERS[:8], 1000), 10.0)
-    made.hear("d", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
-    made.hear("e", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
-    assert len(made.suspects(SERVERS, 10.1)) <= MOST_SHARE * len(SERVERS)
+    made = ClusterEjection()
+    made.receive("b", dict.fromkeys(SERVERS[:8], 1000), 10.0)
+    made.receive("c", dict.fromkeys(SERVERS[:8], 1000), 10.0)
+    made.receive("d", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
+    made.receive("e", dict.fromkeys(SERVERS[8:20], 2000), 10.0)
+    assert len(made.ejected(SERVERS, 10.1)) <= MOST_SHARE * len(SERVERS)
 
 
 def test_a_suspect_is_tried_again_and_longer_avoided_if_it_still_fails():
-    made = Suspicions()
-    made.hear("b", {"s1": 9}, 10.0)
+    made = ClusterEjection()
+    made.receive("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3)
-    assert made.suspects(SERVERS, 10.1) == {"s1"}
+    assert made.ejected(SERVERS, 10.1) == {"s1"}
     tried = 10.1 + HOLD_S + 0.1
-    assert made.suspects(SERVERS, tried) == set()
-    made.hear("b", {"s1": 9}, tried)
+    assert made.ejected(SERVERS, tried) == set()
+    made.receive("b", {"s1": 9}, tried)
     failed(made, "s1", 3, tried)
-    assert made.suspects(SERVERS, tried + 0.1) == {"s1"}
-    assert made.suspects(SERVERS, tried + HOLD_S + 1.0) == {"s1"}
-    assert made.suspects(SERVERS, tried + 2 * HOLD_S + 1.0) == set()
+    assert made.ejected(SERVERS, tried + 0.1) == {"s1"}
+    assert made.ejected(SERVERS, tried + HOLD_S + 1.0) == {"s1"}
+    assert made.ejected(SERVERS, tried + 2 * HOLD_S + 1.0) == set()
 
 
 def test_what_a_node_told_long_ago_counts_no_more():
-    made = Suspicions()
-    made.hear("b", {"s1": 9}, 10.0)
+    made = ClusterEjection()
+    made.receive("b", {"s1": 9}, 10.0)
     failed(made, "s1", 3, 10.0 + WINDOW_S)
-    assert made.suspects(SERVERS, 10.1 + WINDOW_S) == set()
+    assert made.ejected(SERVERS, 10.1 + WINDOW_S) == set()
 
 
 def test_a_telling_stays_small():
-    made = Suspicions()
+    made = ClusterEjection()
     for server in SERVERS:
         made.failed(server, 1.0)
-    assert len(made.tell(1.0)) == MOST_TOLD
+    assert len(made.own_counts(1.0)) == MOST_TOLD
 
 
 def failures_of_few(seed, failing):
     """Play many nodes before three servers; return the part of requests that fail."""
     random = Random(seed)
-    fleet = [Suspicions() for _ in range(MANY_NODES)]
+    fleet = [ClusterEjection() for _ in range(MANY_NODES)]
     told_at = [random.random() * TOLD_EVERY_S for _ in fleet]
     asked = lost = 0
     while (now := asked / REQUESTS_PER_S) < LENGTH_S:
@@ -130,7 +130,7 @@
                 told_at[number] += TOLD_EVERY_S
                 tell_others(fleet, number, now)
         node = random.choice(fleet)
-        suspects = node.suspects(FEW_SERVERS, now)
+        suspects = node.ejected(FEW_SERVERS, now)
         server = random.choice([s for s in FEW_SERVERS if s not in suspects])
         asked += 1
         if server in failing and random.random() < FAILING_SHARE:
@@ -140,10 +140,10 @@
 
 
 def tell_others(fleet, number, now):
-    told = fleet[number].tell(now)
+    told = fleet[number].own_counts(now)
     for other, node in enumerate(fleet):
         if other != number:
-            node.hear(str(number), told, now)
+            node.receive(str(number), told, now)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -157,10 +157,10 @@
 def test_one_of_two_servers_is_not_suspected():
     """Without a third server nothing says which of two is the odd one."""
     servers = FEW_SERVERS[: LEAST_SERVERS - 1]
-    made = Suspicions()
+    made = ClusterEjection()
     failed(made, servers[0], LEAST_FAILURES, now=1.0)
-    made.hear("other", {servers[0]: LEAST_FAILURES}, 1.0)
-    assert made.suspects(servers, 1.0) == set()
+    made.receive("other", {servers[0]: LEAST_FAILURES}, 1.0)
+    assert made.ejected(servers, 1.0) == set()
 
 
 def test_two_failing_servers_of_three_keep_their_work():
--- a/packages/endive_core/tests/test_exceptions.py
+++ b/packages/endive_core/tests/test_exceptions.py
@@ -1,8 +1,13 @@
-from endive_core.exceptions import ANSWERS, REFUSAL_KINDS, EndiveError, ErrorKind
+from endive_core.exceptions import (
+    ERROR_RESPONSES,
+    REFUSAL_KINDS,
+    EndiveError,
+    ErrorKind,
+)
 
 
 def test_every_kind_has_an_answer():
-    assert set(ANSWERS) == set(ErrorKind)
+    assert set(ERROR_RESPONSES) == set(ErrorKind)
 
 
 def test_body_names_code_and_whether_it_ran():
@@ -15,4 +20,4 @@
 
 
 def test_refusals_are_error_statuses():
-    assert all(ANSWERS[kind].status >= 400 for kind in REFUSAL_KINDS)
+    assert all(ERROR_RESPONSES[kind].status >= 400 for kind in REFUSAL_KINDS)
--- a/packages/endive_core/tests/test_expiry.py
+++ b/packages/endive_core/tests/test_expiry.py
@@ -49,7 +49,7 @@
     made = scheduler(servers=2, slots=64)
     made.placement.backlogs = Backlogs()
     tokens = 20_000.0 * seconds
-    made.placement.backlogs.hear("other", {"s0": tokens, "s1": tokens}, 0.0)
+    made.placement.backlogs.receive("other", {"s0": tokens, "s1": tokens}, 0.0)
     return made
 
 
@@ -77,7 +77,7 @@
     made = scheduler(servers=40, slots=64)
     made.placement.backlogs = Backlogs()
     tokens = {f"s{number}": 60_000.0 for number in range(40) if number != 17}
-    made.placement.backlogs.hear("other", tokens, 0.0)
+    made.placement.backlogs.receive("other", tokens, 0.0)
     for number in range(20):
         made.offer(call(number, deadline=2.0), 0.0)
     assert {dispatch.server for dispatch in dispatch_all(made)} == {"s17"}
@@ -91,5 +91,5 @@
     waiting = made.offer(call(deadline=2.0), 0.0)
     dispatch_all(made)
     made.moved(waiting, 0.5, tokens=3)
-    made.placement.backlogs.hear("other", {"s0": 1e6, "s1": 1e6}, 0.5)
+    made.placement.backlogs.receive("other", {"s0": 1e6, "s1": 1e6}, 0.5)
     assert made.next_dispatch(0.5) is not None
--- a/packages/endive_core/tests/test_freshness.py
+++ b/packages/endive_core/tests/test_freshness.py
@@ -79,7 +79,7 @@
     for at in due:
         while at < 30.0:
             checks.append(at)
-            at += max(0.5, Freshness(BOUND_S, started_at=0.0).turns_s(nodes))
+            at += max(0.5, Freshness(BOUND_S, started_at=0.0).retry_delay_s(nodes))
     in_seconds = [sum(s <= at < s + 1 for at in checks) for s in range(30)]
     assert max(in_seconds) <= 2 * MAX_CONCURRENT_CHECKS
 
--- a/packages/endive_core/tests/test_history.py
+++ b/packages/endive_core/tests/test_history.py
@@ -37,7 +37,7 @@
     with pytest.raises(EndiveError) as caught:
         history.since(0)
     assert caught.value.kind is ErrorKind.WATCH_TOO_OLD
-    history.restart(50)
+    history.reset(50)
     assert history.since(50) == []
     with pytest.raises(EndiveError):
         history.since(3)
--- a/packages/endive_core/tests/test_leases.py
+++ b/packages/endive_core/tests/test_leases.py
@@ -15,7 +15,7 @@
 
 def test_the_first_claim_needs_no_wait():
     duty_log = make_log()
-    duty_log.see_end(0, 10.0)
+    duty_log.observe_end(0, 10.0)
     assert duty_log.may_claim("a", 10.0)
 
 
@@ -24,7 +24,7 @@
     acted before the end of the lease, both would order servers."""
     duty_log = make_log()
     duty_log.fold(0, record(DutyKind.CLAIM, "a"))
-    duty_log.see_end(1, 10.0)
+    duty_log.observe_end(1, 10.0)
     lease = Lease()
     lease.extend(1, 10.0, duty_log)
     assert not duty_log.may_claim("b", 12.0)
@@ -37,9 +37,9 @@
 def test_a_renewal_restarts_the_wait():
     duty_log = make_log()
     duty_log.fold(0, record(DutyKind.CLAIM, "a"))
-    duty_log.see_end(1, 10.0)
+    duty_log.observe_end(1, 10.0)
     duty_log.fold(1, record(DutyKind.RENEWAL, "a", 1))
-    duty_log.see_end(2, 12.0)
+    duty_log.observe_end(2, 12.0)
     assert not duty_log.may_claim("b", 14.0)
     assert duty_log.may_claim("b", 12.0 + LEASE_S + MARGIN_S)
 
@@ -48,7 +48,7 @@
     duty_log = make_log()
     duty_log.fold(0, record(DutyKind.CLAIM, "a"))
     duty_log.fold(1, record(DutyKind.RELEASE, "a", 1))
-    duty_log.see_end(2, 10.0)
+    duty_log.observe_end(2, 10.0)
     assert duty_log.may_claim("b", 10.0)
     assert not duty_log.may_claim("a", 10.0)
 
@@ -61,7 +61,7 @@
     duty_log.fold(1, record(DutyKind.RELEASE, "a", 1))
     duty_log.fold(2, record(DutyKind.CLAIM, "b"))
     duty_log.fold(3, record(DutyKind.RELEASE, "b", 3))
-    duty_log.see_end(4, 10.0)
+    duty_log.observe_end(4, 10.0)
     assert not duty_log.may_claim("a", 10.5)
     assert duty_log.may_claim("c", 10.5)
 
@@ -99,7 +99,7 @@
 def test_the_holder_is_known_after_the_log_dropped_the_claim():
     duty_log = make_log()
     duty_log.fold(40, DutyRecord(DutyKind.RENEWAL, "a", 1, 12, 6))
-    duty_log.see_end(41, 10.0)
+    duty_log.observe_end(41, 10.0)
     assert (duty_log.tenure.holder, duty_log.tenure.fence) == ("a", 12)
     assert duty_log.reported == 6
     assert not duty_log.may_claim("b", 10.1)
@@ -110,18 +110,18 @@
     wait counted from its first read, no servers would be ordered for another three
     seconds."""
     duty_log = make_log()
-    duty_log.hear_end(1, 10.0)
+    duty_log.observe_peer_end(1, 10.0)
     duty_log.fold(0, record(DutyKind.CLAIM, "a"))
-    duty_log.see_end(1, 12.8)
+    duty_log.observe_end(1, 12.8)
     assert not duty_log.may_claim("b", 12.8)
     assert duty_log.may_claim("b", 10.0 + LEASE_S + MARGIN_S)
 
 
 def test_an_end_beyond_the_peers_report_restarts_the_wait():
     duty_log = make_log()
-    duty_log.hear_end(1, 10.0)
+    duty_log.observe_peer_end(1, 10.0)
     duty_log.fold(0, record(DutyKind.CLAIM, "a"))
     duty_log.fold(1, record(DutyKind.RENEWAL, "a", 1))
-    duty_log.see_end(2, 12.8)
+    duty_log.observe_end(2, 12.8)
     assert not duty_log.may_claim("b", 12.8 + LEASE_S)
     assert duty_log.may_claim("b", 12.8 + LEASE_S + MARGIN_S)
--- a/packages/endive_core/tests/test_lifecycle.py
+++ b/packages/endive_core/tests/test_lifecycle.py
@@ -5,7 +5,7 @@
 from endive_core.exceptions import Executed
 from endive_core.lifecycle import (
     FINAL_STATES,
-    TABLE,
+    REQUEST_TABLE,
     Event,
     Flags,
     Lifecycle,
@@ -41,7 +41,7 @@
     frontier = list(paths)
     for state, flags in frontier:
         for event in Event:
-            step = TABLE.get((flags, state, event))
+            step = REQUEST_TABLE.get((flags, state, event))
             if step is not None and step not in paths:
                 paths[step] = (*paths[state, flags], event)
                 frontier.append(step)
@@ -56,7 +56,7 @@
         if state in FINAL_STATES:
             continue
         for event in Event:
-            expected = TABLE.get((flags, state, event), (state, flags))
+            expected = REQUEST_TABLE.get((flags, state, event), (state, flags))
             assert step_sismic((*path, event), start) == expected, (path, event)
 
 
--- a/packages/endive_core/tests/test_counting.py
+++ b/packages/endive_core/tests/test_limit_coordination.py
@@ -2,13 +2,13 @@
 import itertools
 
 import pytest
-from endive_core.counting import (
-    ASK_S,
-    SpendingCount,
-    counting_node,
-    may_spend_unasked,
+from endive_core.limit_coordination import (
+    GRANT_TIMEOUT_S,
+    UnsentSpending,
+    coordinator_for,
+    may_spend_without_grant,
 )
-from endive_core.sharing import HEAD_START_S, SharedLimits, Spender
+from endive_core.shared_limits import HEAD_START_S, SharedLimits, SpendingOrigin
 
 RATE, BURST, SLACK = 400.0, 400.0, 800.0
 WINDOW_S = 4.0
@@ -22,7 +22,7 @@
     def __init__(self, name, now):
         self.name = name
         self.limits = SharedLimits(now, slack=SLACK)
-        self.count = SpendingCount()
+        self.count = UnsentSpending()
         self.tellings = 0
 
 
@@ -53,7 +53,7 @@
         self.nodes = {f"n{i}": Node(f"n{i}", 0.0) for i in range(size)}
         for node in self.nodes.values():
             for other in self.nodes.keys() - {node.name}:
-                node.limits.expect(other, 0.0)
+                node.limits.add_peer(other, 0.0)
         self.counting = counting
         self.lost = lost
         self.asking = asking
@@ -72,19 +72,19 @@
 
     def tell(self, node):
         node.tellings += 1
-        spent = dict(node.limits.tell())
+        spent = dict(node.limits.own_totals())
         for other in self.nodes.values():
             if other is not node:
                 self.later(
-                    self.delay_s, self.hear, other, node.name, spent, node.tellings
+                    self.delay_s, self.receive, other, node.name, spent, node.tellings
                 )
         self.later(TELL_S, self.tell, node)
 
-    def hear(self, node, sender, spent, tellings):
-        node.limits.hear(self.spender(sender, tellings), spent, self.now)
+    def receive(self, node, sender, spent, tellings):
+        node.limits.receive(self.spender(sender, tellings), spent, self.now)
 
     def spender(self, name, tellings):
-        return Spender(name, 1, tellings, age_s=self.now)
+        return SpendingOrigin(name, 1, tellings, age_s=self.now)
 
     def note(self, receiver, entries):
         self.notes += 1
@@ -96,8 +96,8 @@
             if name == node.name:
                 continue
             spender = self.spender(name, tellings)
-            new = node.limits.note(spender, "o", units, self.now)
-            if counting_node("o", self.nodes) == node.name:
+            new = node.limits.apply_update(spender, "o", units, self.now)
+            if coordinator_for("o", self.nodes) == node.name:
                 self.counted(node, name, new)
 
     def counted(self, counter, name, units):
@@ -110,17 +110,17 @@
                 self.note(other, entries)
 
     def entry(self, counter, name):
-        spent = counter.limits.tell()
+        spent = counter.limits.own_totals()
         if name != counter.name:
             spent = counter.limits.peers[name].spent
         return name, spent["o"], self.nodes[name].tellings
 
     def request(self, node):
-        counter = self.nodes[counting_node("o", self.nodes)]
+        counter = self.nodes[coordinator_for("o", self.nodes)]
         left, _ = node.limits.left("o", self.now, rate=RATE, burst=BURST)
-        even = may_spend_unasked(UNITS, left=left, nodes=len(self.nodes))
+        even = may_spend_without_grant(UNITS, left=left, nodes=len(self.nodes))
         if self.asking and node is not counter and left > 0 and not even:
-            if 2 * self.delay_s < ASK_S and not self.lost():
+            if 2 * self.delay_s < GRANT_TIMEOUT_S and not self.lost():
                 self.later(self.delay_s, self.grant, counter, node)
             return
         if node.limits.wait_s("o", UNITS, self.now, rate=RATE, burst=BURST):
@@ -132,7 +132,7 @@
             self.note(counter, [self.entry(node, node.name)])
 
     def grant(self, counter, node):
-        total = node.limits.tell().get("o", 0.0) + UNITS
+        total = node.limits.own_totals().get("o", 0.0) + UNITS
         spender = self.spender(node.name, node.tellings)
         wait_s = counter.limits.grant(
             spender, "o", total, self.now, rate=RATE, burst=BURST
@@ -225,17 +225,17 @@
 
 
 def spender(*, tellings, age_s=1.0):
-    return Spender("p", 1, tellings, age_s)
+    return SpendingOrigin("p", 1, tellings, age_s)
 
 
 def noted(limits, units, **options):
-    return limits.note(spender(**options), "o", units, 1.0)
+    return limits.apply_update(spender(**options), "o", units, 1.0)
 
 
 def test_what_was_noted_is_not_counted_again_with_the_telling():
     limits = SharedLimits(0.0)
     assert noted(limits, 20.0, tellings=1) == 20.0
-    limits.hear(spender(tellings=2), {"o": 20.0}, 1.1)
+    limits.receive(spender(tellings=2), {"o": 20.0}, 1.1)
     assert limits.allowances["o"].units == -20.0
 
 
@@ -244,9 +244,9 @@
     first. Taken as the newest, the telling would give back what the note had taken."""
     limits = SharedLimits(0.0)
     noted(limits, 20.0, tellings=3)
-    limits.hear(spender(tellings=3), {"o": 0.0}, 1.1)
+    limits.receive(spender(tellings=3), {"o": 0.0}, 1.1)
     assert limits.allowances["o"].units == -20.0
-    limits.hear(spender(tellings=4), {"o": 0.0}, 1.2)
+    limits.receive(spender(tellings=4), {"o": 0.0}, 1.2)
     assert limits.allowances["o"].units == 0.0
 
 
@@ -267,7 +267,7 @@
 
 @pytest.mark.parametrize(("left", "due"), [(60.0, False), (40.0, True)])
 def test_others_are_told_when_little_is_left(left, due):
-    count = SpendingCount()
+    count = UnsentSpending()
     count.add("o", "a", 10.0)
     count.add("o", "b", 5.0)
     assert bool(count.take_due("o", left=left, most=100.0)) is due
--- a/packages/endive_core/tests/test_outliers.py
+++ b/packages/endive_core/tests/test_outliers.py
@@ -2,10 +2,10 @@
 
 from core_builders import view
 from endive_core.calls import Tier
+from endive_core.ejection import HOLD_S, ClusterEjection
 from endive_core.outliers import MIN_SAMPLES, OutlierDetector
 from endive_core.policy import Policy
 from endive_core.servers import ServerSet
-from endive_core.suspicions import HOLD_S, Suspicions
 
 
 def detector(latencies):
@@ -13,7 +13,7 @@
     servers.set_servers(view(f"s{i}", slots=8) for i in range(len(latencies)))
     made = OutlierDetector(Policy(), servers)
     observe(made, latencies)
-    made.compare(1.0)
+    made.update_outliers(1.0)
     return made
 
 
@@ -29,14 +29,14 @@
     made = detector([0.1, 0.1, 0.4, 0.1, 0.1])
     slow = made.servers.servers["s2"]
     assert slow.slow
-    assert "s2" not in made.servers.open[Tier.WITHIN_SHARE].positions
+    assert "s2" not in made.servers.available[Tier.WITHIN_SHARE].positions
     assert made.probe(2.0) is None
     assert made.probe(7.0) is slow
     assert made.probe(7.1) is None
     observe(made, [0.1] * 5)
-    made.compare(8.0)
+    made.update_outliers(8.0)
     assert not slow.slow
-    assert "s2" in made.servers.open[Tier.WITHIN_SHARE].positions
+    assert "s2" in made.servers.available[Tier.WITHIN_SHARE].positions
 
 
 def test_load_that_slows_all_servers_marks_none():
@@ -54,7 +54,7 @@
     server = made.servers.servers["s0"]
     server.samples = 1
     made.observe(server, seconds=5.0, expected_s=0.1)
-    made.compare(3.0)
+    made.update_outliers(3.0)
     assert not made.slow
 
 
@@ -69,7 +69,7 @@
     made.observe(made.servers.servers["s2"], seconds=0.1, expected_s=0.1)
     for _ in range(2 * MIN_SAMPLES):
         made.failed(failing)
-    made.compare(2.0)
+    made.update_outliers(2.0)
     assert failing.slow
     assert not rare.slow
 
@@ -86,7 +86,7 @@
         made.failed(failing)
         made.observe(late, seconds=0.1, expected_s=0.1)
         made.observe(well, seconds=0.1, expected_s=0.1)
-    made.compare(2.0)
+    made.update_outliers(2.0)
     assert made.slow == [failing]
 
 
@@ -109,7 +109,7 @@
                 made.failed(server)
             else:
                 made.observe(server, seconds=0.1, expected_s=0.1)
-    made.compare(3.0)
+    made.update_outliers(3.0)
     assert made.slow == [failing]
 
 
@@ -121,7 +121,7 @@
                 made.failed(server)
             else:
                 made.observe(server, seconds=0.1, expected_s=0.1)
-    made.compare(3.0)
+    made.update_outliers(3.0)
     assert not made.slow
 
 
@@ -129,11 +129,11 @@
     """Other nodes tell of a server that fails. This one has hardly sent it anything,
     and each of its probes would be one more caller's failure."""
     made = detector([0.1] * 5)
-    made.suspicions = Suspicions()
-    made.suspicions.hear("b", {"s2": 9}, 1.5)
-    made.suspicions.hear("c", {"s2": 9}, 1.5)
-    made.compare(2.0)
-    assert "s2" not in made.servers.open[Tier.WITHIN_SHARE].positions
+    made.ejection = ClusterEjection()
+    made.ejection.receive("b", {"s2": 9}, 1.5)
+    made.ejection.receive("c", {"s2": 9}, 1.5)
+    made.update_outliers(2.0)
+    assert "s2" not in made.servers.available[Tier.WITHIN_SHARE].positions
     assert made.probe(4.5) is None
-    made.compare(2.0 + HOLD_S + 0.1)
-    assert "s2" in made.servers.open[Tier.WITHIN_SHARE].positions
+    made.update_outliers(2.0 + HOLD_S + 0.1)
+    assert "s2" in made.servers.available[Tier.WITHIN_SHARE].positions
--- a/packages/endive_core/tests/test_prefilling.py
+++ b/packages/endive_core/tests/test_prefilling.py
@@ -17,7 +17,7 @@
 def learned(rate, samples):
     for tokens, seconds in samples:
         rate.learn(tokens, seconds)
-    return rate.token_s
+    return rate.seconds_per_token
 
 
 @pytest.mark.parametrize("true_us", [5.0, 18.0, 80.0])
@@ -41,7 +41,7 @@
     rate = PrefillRate()
     learned(rate, first_tokens(100, 18e-6))
     rate.learn(50_000.0, 14.0)
-    assert rate.token_s == pytest.approx(18e-6, rel=0.5)
+    assert rate.seconds_per_token == pytest.approx(18e-6, rel=0.5)
 
 
 def test_a_change_of_the_engines_is_followed():
--- a/packages/endive_core/tests/test_prefixes.py
+++ b/packages/endive_core/tests/test_prefixes.py
@@ -15,17 +15,17 @@
     """The event that told of the middle of a prompt was lost. Its end is known to be
     cached, and blocks are chained, so the middle must be there too."""
     index = PrefixIndex(max_blocks=1000)
-    index.event("s0", 0, stored=True, blocks=list(BLOCKS[:10]))
-    index.event("s0", 2, stored=True, blocks=list(BLOCKS[20:30]))
+    index.apply_event("s0", 0, stored=True, blocks=list(BLOCKS[:10]))
+    index.apply_event("s0", 2, stored=True, blocks=list(BLOCKS[20:30]))
     assert index.prefix_holders(BLOCKS) == {"s0": 30}
     assert index.gaps == 1
 
 
 def test_event_that_arrives_twice_does_nothing():
     index = PrefixIndex(max_blocks=1000)
-    index.event("s0", 5, stored=True, blocks=list(BLOCKS[:4]))
-    index.event("s0", 6, stored=False, blocks=list(BLOCKS[:4]))
-    index.event("s0", 5, stored=True, blocks=list(BLOCKS[:4]))
+    index.apply_event("s0", 5, stored=True, blocks=list(BLOCKS[:4]))
+    index.apply_event("s0", 6, stored=False, blocks=list(BLOCKS[:4]))
+    index.apply_event("s0", 5, stored=True, blocks=list(BLOCKS[:4]))
     assert index.prefix_holders(BLOCKS) == {}
 
 
--- a/packages/endive_core/tests/test_returning.py
+++ b/packages/endive_core/tests/test_retry_after.py
@@ -1,4 +1,4 @@
-from endive_core.returning import TURN_PERIOD, TURN_S, ReturnTimes, is_turn, next_turn
+from endive_core.retry_after import TURN_PERIOD, TURN_S, ReturnTimes, is_turn, next_turn
 
 KEY = ("broker", 0)
 
--- a/packages/endive_core/tests/test_routing.py
+++ b/packages/endive_core/tests/test_routing.py
@@ -1,5 +1,5 @@
 from endive_core.routing import (
-    OrganisationTerms,
+    OrganisationLimits,
     Route,
     RouteKind,
     RoutingTable,
@@ -42,7 +42,7 @@
 
 
 def test_a_key_is_needed_unless_the_route_is_public():
-    terms = {"o": OrganisationTerms("o")}
+    terms = {"o": OrganisationLimits("o")}
     closed, public = route("/a/"), route("/b/", public=True)
     made = table(closed, public, keys={"k": "o"}, organisations=terms)
     assert made.allows(closed, "k")
@@ -63,15 +63,15 @@
 
 
 def test_only_resumable_streams_and_idempotent_calls_may_be_repeated():
-    assert route("/").repeatable
-    assert not route("/", kind=RouteKind.NON_IDEMPOTENT).repeatable
-    assert not route("/", kind=RouteKind.STREAM).repeatable
-    assert route("/", kind=RouteKind.STREAM, resumable=True).repeatable
+    assert route("/").retryable
+    assert not route("/", kind=RouteKind.NON_IDEMPOTENT).retryable
+    assert not route("/", kind=RouteKind.STREAM).retryable
+    assert route("/", kind=RouteKind.STREAM, resumable=True).retryable
 
 
 def test_a_request_counts_by_its_tokens_only_where_the_limit_does():
-    plain = OrganisationTerms("o", plain_tokens=200)
-    by_tokens = OrganisationTerms("o", counts_tokens=True, plain_tokens=200)
+    plain = OrganisationLimits("o", plain_tokens=200)
+    by_tokens = OrganisationLimits("o", counts_tokens=True, plain_tokens=200)
     assert plain.units(1500, 30) == 1.0
     assert by_tokens.units(1500, 30) == 1530.0
     assert by_tokens.units(1500, None) == 1500.0
--- a/packages/endive_core/tests/test_scheduler.py
+++ b/packages/endive_core/tests/test_scheduler.py
@@ -3,7 +3,7 @@
 from core_builders import call, dispatch_all, scheduler
 from endive_core.calls import Refusal, Retry, Stage
 from endive_core.exceptions import ErrorKind, RetryReason
-from endive_core.returning import TURN_PERIOD, TURN_S, is_turn
+from endive_core.retry_after import TURN_PERIOD, TURN_S, is_turn
 
 
 def test_call_is_sent_to_a_server_with_room():
@@ -15,7 +15,7 @@
     made.started(ticket, 0.1)
     made.finished(ticket, 1.1, tokens=50)
     assert ticket.stage is Stage.ENDED
-    assert made.servers.own_total == 0
+    assert made.servers.own_in_flight == 0
 
 
 def test_overload_is_refused_at_once_with_growing_times_to_come_back():
--- a/packages/endive_core/tests/test_servers.py
+++ b/packages/endive_core/tests/test_servers.py
@@ -14,8 +14,10 @@
 
 def fill(made, tier, now=1.0):
     sent = 0
-    while open_servers := [s for s in made.open[tier].items if made.has_room(s, tier)]:
-        made.note(made.random.choice(open_servers), 1, now)
+    while open_servers := [
+        s for s in made.available[tier].items if made.has_room(s, tier)
+    ]:
+        made.adjust_in_flight(made.random.choice(open_servers), 1, now)
         sent += 1
     return sent
 
@@ -27,7 +29,7 @@
     for seed in range(70):
         made = servers(seed=seed)
         for _ in range(4):
-            made.note(made.servers["s0"], 1, 0.1)
+            made.adjust_in_flight(made.servers["s0"], 1, 0.1)
         made.report("s0", 28, 0, as_of=0.5)
         sent += fill(made, Tier.WITHIN_SHARE)
     assert 0.6 * 40 < sent < 1.6 * 40
@@ -47,7 +49,7 @@
     server.grants[Tier.WITHIN_SHARE] = 0
     made.refresh(server)
     assert not made.has_room(server, Tier.WITHIN_SHARE)
-    made.note(server, -1, 1.0)
+    made.adjust_in_flight(server, -1, 1.0)
     assert made.has_room(server, Tier.WITHIN_SHARE)
 
 
@@ -62,8 +64,8 @@
 def test_own_sends_before_the_report_are_not_counted_twice():
     made = servers()
     server = made.servers["s0"]
-    made.note(server, 1, 1.0)
-    made.note(server, 1, 2.0)
+    made.adjust_in_flight(server, 1, 1.0)
+    made.adjust_in_flight(server, 1, 2.0)
     made.report("s0", 1, 0, as_of=1.5)
     assert server.load == 2
 
@@ -74,16 +76,16 @@
     made.pause(server)
     server.paused = False
     made.refresh(server)
-    made.note(server, 1, 1.0)
-    assert server.id not in made.open[Tier.WITHIN_SHARE].positions
-    made.answered(server)
-    assert server.id in made.open[Tier.WITHIN_SHARE].positions
+    made.adjust_in_flight(server, 1, 1.0)
+    assert server.id not in made.available[Tier.WITHIN_SHARE].positions
+    made.record_success(server)
+    assert server.id in made.available[Tier.WITHIN_SHARE].positions
 
 
 def test_last_server_is_never_paused():
     made = servers()
     assert not made.pause(made.servers["s0"])
-    assert len(made.taking) == 1
+    assert len(made.accepting) == 1
 
 
 def test_a_server_that_is_gone_is_not_offered_again_when_its_last_work_ends():
@@ -96,8 +98,8 @@
     made.set_servers([view("s1", slots=32)])
     gone.paused = False
     made.refresh(gone)
-    made.answered(gone)
-    for members in (made.taking, *made.open.values()):
+    made.record_success(gone)
+    for members in (made.accepting, *made.available.values()):
         assert "s0" not in members.positions
 
 
@@ -126,7 +128,9 @@
         left.discard(name)
         one_by_one.set_servers([one_by_one.servers[n].view for n in names if n in left])
     for tier in Tier:
-        assert list(made.open[tier].positions) == list(one_by_one.open[tier].positions)
-        assert [s.id for s in made.open[tier].items] == [
-            s.id for s in one_by_one.open[tier].items
+        assert list(made.available[tier].positions) == list(
+            one_by_one.available[tier].positions
+        )
+        assert [s.id for s in made.available[tier].items] == [
+            s.id for s in one_by_one.available[tier].items
         ]
--- a/packages/endive_core/tests/test_sharing.py
+++ b/packages/endive_core/tests/test_shared_limits.py
@@ -1,9 +1,9 @@
-from endive_core.sharing import (
+from endive_core.shared_limits import (
     FORGOTTEN_S,
     HEAD_START_S,
-    SILENT_S,
+    SILENCE_TIMEOUT_S,
     SharedLimits,
-    Spender,
+    SpendingOrigin,
 )
 
 RATE, BURST = 1000.0, 1000.0
@@ -20,16 +20,16 @@
         for index, node in enumerate(self.nodes):
             for other in range(count):
                 if other != index:
-                    node.expect(str(other), 0.0)
+                    node.add_peer(str(other), 0.0)
 
     def tell(self, now):
         self.tellings += 1
         for side in self.sides:
             for sender in side:
                 for receiver in side - {sender}:
-                    self.nodes[receiver].hear(
-                        Spender(str(sender), 1, self.tellings, age_s=now),
-                        dict(self.nodes[sender].tell()),
+                    self.nodes[receiver].receive(
+                        SpendingOrigin(str(sender), 1, self.tellings, age_s=now),
+                        dict(self.nodes[sender].own_totals()),
                         now,
                     )
 
@@ -75,31 +75,33 @@
     fleet.tell(0.0)
     fleet.play(0.0, 4.0, 8 * RATE, 20.0)
     fleet.sides = [set(range(6)), {6, 7}]
-    fleet.play(4.0, 4.0 + SILENT_S, 8 * RATE, 20.0)
-    admitted = fleet.play(4.0 + SILENT_S, 12.0 + SILENT_S, 8 * RATE, 20.0)
+    fleet.play(4.0, 4.0 + SILENCE_TIMEOUT_S, 8 * RATE, 20.0)
+    admitted = fleet.play(
+        4.0 + SILENCE_TIMEOUT_S, 12.0 + SILENCE_TIMEOUT_S, 8 * RATE, 20.0
+    )
     assert admitted <= (8 * RATE + BURST) * 1.1
 
 
 def test_a_node_that_is_gone_for_good_gives_its_part_back():
     made = SharedLimits(0.0)
-    made.expect("other", 0.0)
-    assert made.part(0.1 + SILENT_S) == 0.5
-    made.forget_silent(FORGOTTEN_S + SILENT_S + 1.0)
-    assert made.part(FORGOTTEN_S + 2.0) == 1.0
+    made.add_peer("other", 0.0)
+    assert made.reachable_share(0.1 + SILENCE_TIMEOUT_S) == 0.5
+    made.remove_silent_peers(FORGOTTEN_S + SILENCE_TIMEOUT_S + 1.0)
+    assert made.reachable_share(FORGOTTEN_S + 2.0) == 1.0
 
 
 def test_a_node_that_said_it_stopped_gives_its_part_back_at_once():
     made = SharedLimits(0.0)
-    made.hear(Spender("other", 1, 1, 1.0), {}, 1.0)
-    made.leave("other")
-    assert made.part(5.0) == 1.0
+    made.receive(SpendingOrigin("other", 1, 1, 1.0), {}, 1.0)
+    made.remove_peer("other")
+    assert made.reachable_share(5.0) == 1.0
 
 
 def test_what_an_old_peer_spent_before_is_not_taken_again():
     """A node starts anew and hears what the others have spent in an hour. Taken off at
     once, it would refuse the organisation's callers for an hour."""
     made = SharedLimits(0.0)
-    made.hear(Spender("old", 1, 18_000, 3600.0), {"o": 1e9}, 1.0)
+    made.receive(SpendingOrigin("old", 1, 18_000, 3600.0), {"o": 1e9}, 1.0)
     assert made.wait_s("o", 1.0, 1.0, rate=RATE, burst=BURST) == 0.0
 
 
@@ -108,15 +110,15 @@
     seconds later, when they have told a part of their rounds thirty times. Were what
     these had spent not counted, it would be let through twice."""
     made = SharedLimits(0.0)
-    made.hear(Spender("p", 1, 30, 2.5), {"o": 600.0}, 2.2)
+    made.receive(SpendingOrigin("p", 1, 30, 2.5), {"o": 600.0}, 2.2)
     assert made.allowances["o"].units == -600.0
 
 
 def test_a_restarted_peer_counts_from_zero():
     made = SharedLimits(0.0)
-    made.hear(Spender("p", 1, 100, 20.0), {"o": 5000.0}, 1.0)
-    made.hear(Spender("p", 2, 1, 0.1), {"o": 10.0}, 1.5)
-    made.hear(Spender("p", 2, 2, 0.3), {"o": 10.0}, 1.7)
+    made.receive(SpendingOrigin("p", 1, 100, 20.0), {"o": 5000.0}, 1.0)
+    made.receive(SpendingOrigin("p", 2, 1, 0.1), {"o": 10.0}, 1.5)
+    made.receive(SpendingOrigin("p", 2, 2, 0.3), {"o": 10.0}, 1.7)
     assert made.allowances["o"].units == -10.0
 
 
@@ -133,9 +135,9 @@
     made = SharedLimits(0.0)
     made.wait_s("o", 500.0, 1.0, rate=RATE, burst=BURST)
     before = made.allowances["o"].units
-    made.give_back("o", 500.0)
+    made.refund("o", 500.0)
     assert made.allowances["o"].units == before + 500.0
-    assert made.tell()["o"] == 0.0
+    assert made.own_totals()["o"] == 0.0
 
 
 def test_callers_who_return_after_a_power_loss_are_not_refused_below_the_limit():
--- a/packages/endive_core/tests/test_shifting.py
+++ b/packages/endive_core/tests/test_stream_moves.py
@@ -1,6 +1,6 @@
 from core_builders import call
 from endive_core.calls import Ticket
-from endive_core.shifting import ShiftMethod, plan_shifts
+from endive_core.stream_moves import MoveMethod, plan_moves
 
 
 def stream(number, *, prompt_tokens, tokens=10, left=1000, **more):
@@ -14,14 +14,14 @@
 
 
 def plan(tickets, seconds_left=3.0):
-    shifts = plan_shifts(
+    moves = plan_moves(
         tickets,
         seconds_left=seconds_left,
         decode_tokens_per_s=50.0,
         export_tokens_per_s=1000.0,
         margin_s=1.0,
     )
-    return {shift.ticket: shift for shift in shifts}, shifts
+    return {shift.ticket: shift for shift in moves}, moves
 
 
 def test_dearest_streams_are_exported_first_and_the_rest_resume():
@@ -30,16 +30,16 @@
     cheap = stream(0, prompt_tokens=300)
     dear = stream(1, prompt_tokens=1500)
     middle = stream(2, prompt_tokens=400)
-    planned, shifts = plan([cheap, dear, middle])
-    assert [shift.ticket for shift in shifts] == [dear, middle, cheap]
-    assert planned[dear].starts_at_s == 0
-    assert planned[middle].starts_at_s > 1
-    assert planned[cheap].method is ShiftMethod.RESUME
+    planned, moves = plan([cheap, dear, middle])
+    assert [shift.ticket for shift in moves] == [dear, middle, cheap]
+    assert planned[dear].start_delay_s == 0
+    assert planned[middle].start_delay_s > 1
+    assert planned[cheap].method is MoveMethod.RESUME
 
 
 def test_stream_that_ends_in_time_is_left_alone():
     planned, _ = plan([ending := stream(0, prompt_tokens=900, left=50)])
-    assert planned[ending].method is ShiftMethod.FINISH
+    assert planned[ending].method is MoveMethod.FINISH
 
 
 def test_non_idempotent_stream_is_never_computed_again():
@@ -47,4 +47,4 @@
     twice."""
     quote = stream(0, prompt_tokens=9000, non_idempotent=True)
     planned, _ = plan([quote])
-    assert planned[quote].method is ShiftMethod.FINISH
+    assert planned[quote].method is MoveMethod.FINISH
--- a/packages/endive_core/tests/test_yielding.py
+++ b/packages/endive_core/tests/test_yielding.py
@@ -148,11 +148,11 @@
     many.placement.backlogs = Backlogs()
     many.set_nodes(80)
     for server in many.servers.servers.values():
-        many.servers.note_prompt(server, 1, 20_000.0, yields=False)
+        many.servers.adjust_prefill_backlog(server, 1, 20_000.0, yields=False)
     late = send(many, 10_000)
     assert late.yields
     server = many.servers.servers[late.server]
-    assert 10_000 < many.servers.yielding_at(server) < 40_000
+    assert 10_000 < many.servers.yielding_tokens_at(server) < 40_000
 
 
 def test_what_yielded_at_a_server_that_left_counts_no_more(made):
--- a/packages/endive_gateway/src/endive_gateway/__init__.py
+++ b/packages/endive_gateway/src/endive_gateway/__init__.py
@@ -10,11 +10,11 @@
   ``loops``
 - callers' side: ``callers``, ``http``, ``statuses``, ``progress``
 - servers' side: ``forwarding``, ``attempts``, ``connections``, ``events``, ``placing``,
-  ``working``
-- what the platform says: ``following``, ``configuration``, ``servers``, ``documents``,
-  ``listing``
-- between nodes: ``peers``, ``nodes``, ``tellings``, ``datagrams``, ``spending``,
+  ``workload``
+- what the platform says: ``following``, ``configuration``, ``servers``,
+  ``configuration_exchange``, ``listing``
+- between nodes: ``peers``, ``nodes``, ``state_messages``, ``datagrams``, ``spending``,
   ``prompts``
-- what one node does for all: ``duties``, ``ordering``
+- what one node does for all: ``duties``, ``autoscaling``
 - watching it: ``logstream``, ``metrics``
 """
--- a/packages/endive_gateway/src/endive_gateway/attempts.py
+++ b/packages/endive_gateway/src/endive_gateway/attempts.py
@@ -11,13 +11,13 @@
 from endive_gateway.connections import ServerConnection
 from endive_gateway.context import Context
 from endive_gateway.events import EventSplitter
-from endive_gateway.exceptions import AttemptError, BrokenError
+from endive_gateway.exceptions import AttemptError, ConnectionBrokenError
 from endive_gateway.http import AnswerMessage, encode_head, end_to_end
 from endive_gateway.interfaces import (
-    AnswerFacts,
-    RequestFacts,
-    Sending,
-    ServerAnswer,
+    ForwardingMetadata,
+    RequestMetadata,
+    ResponseMetadata,
+    ServerResponse,
     header_value,
 )
 from endive_gateway.progress import Progress
@@ -38,14 +38,14 @@
 
     context: Context
     exchange: Exchange
-    facts: RequestFacts
+    metadata: RequestMetadata
     progress: Progress
     route: Route
     engine: Engine | None
     ticket: Ticket
     splitter: EventSplitter
     organisation: str
-    urgency: int
+    server_priority: int
     in_flight: bool
     servers: list[str]
     sent_at: float
@@ -94,7 +94,7 @@
         self.request.servers.append(view.id)
         try:
             self.connection = self.context.pool.take(view.id, view.address)
-        except BrokenError as error:
+        except ConnectionBrokenError as error:
             raise AttemptError(
                 f"connecting: {error}",
                 RetryReason.CONNECT_FAILED,
@@ -102,12 +102,12 @@
                 counts=False,
             ) from None
         self.request.in_flight = True
-        self.request.sent_at = self.context.true_time.now()
+        self.request.sent_at = self.context.cluster_clock.now()
         try:
             self._send()
-            message, facts = self.connection.read_head(self.request.facts.id)
-            self._judge(message, facts)
-        except BrokenError as error:
+            message, metadata = self.connection.read_head(self.request.metadata.id)
+            self._judge(message, metadata)
+        except ConnectionBrokenError as error:
             self.request.count_plain_loss()
             raise AttemptError(
                 str(error), RetryReason.SERVER_FAILED, started=True
@@ -118,17 +118,18 @@
 
     def _send(self) -> None:
         message = self.request.exchange.message
-        sending = Sending(
+        forwarding = ForwardingMetadata(
             server_id=self.view.id,
             organisation=self.request.organisation,
             left_s=max(0.001, self.request.left_s()),
-            urgency=self.request.urgency,
-            last_event=self.request.splitter.last_id or self.request.facts.last_event,
+            server_priority=self.request.server_priority,
+            last_event_id=self.request.splitter.last_id
+            or self.request.metadata.last_event_id,
         )
         headers = self.context.wire.encode_request(
-            end_to_end(message.headers, self.context.wire.kept()),
-            self.request.facts,
-            sending,
+            end_to_end(message.headers, self.context.wire.end_to_end_headers()),
+            self.request.metadata,
+            forwarding,
         )
         body = self.request.exchange.body
         if message.has_length or body:
@@ -136,20 +137,20 @@
         line = b"%s %s HTTP/1.1" % (message.method, message.target)
         self.connection.send(encode_head(line, headers), body)
 
-    def _judge(self, message: AnswerMessage, facts: AnswerFacts) -> None:
+    def _judge(self, message: AnswerMessage, metadata: ResponseMetadata) -> None:
         """Pass a success on; raise AttemptError for all else."""
         view = self.view
-        if facts.running is not None:
-            self.context.placer.report(view.id, facts.running, facts.waiting or 0)
+        if metadata.running is not None:
+            self.context.placer.report(view.id, metadata.running, metadata.waiting or 0)
         if message.status == 421:
-            self.context.registry.contradict(view.id)
+            self.context.registry.mark_misidentified(view.id)
             raise AttemptError(
                 "another server has the address",
                 RetryReason.SERVER_LEAVING,
                 started=False,
                 counts=False,
             )
-        if facts.not_run:
+        if metadata.not_run:
             self.connection.read_all(message)
             self._keep_connection(message)
             raise AttemptError(
@@ -158,7 +159,7 @@
                 started=False,
             )
         if 200 <= message.status < 300:
-            self._check_success(message, facts)
+            self._check_success(message, metadata)
             if self.request.route.kind is RouteKind.STREAM:
                 self._pass_stream(message)
             else:
@@ -174,19 +175,21 @@
             answer=answer,
         )
 
-    def _check_success(self, message: AnswerMessage, facts: AnswerFacts) -> None:
+    def _check_success(
+        self, message: AnswerMessage, metadata: ResponseMetadata
+    ) -> None:
         """Refuse a success that is not the server's own."""
         encoding = header_value(message.headers, b"content-encoding").lower()
-        if not facts.sealed or encoding not in (b"", b"identity"):
-            raise BrokenError("an answer without a signature", sent=True)
+        if not metadata.signed or encoding not in (b"", b"identity"):
+            raise ConnectionBrokenError("an answer without a signature", sent=True)
 
-    def _whole(self, message: AnswerMessage) -> ServerAnswer:
+    def _whole(self, message: AnswerMessage) -> ServerResponse:
         body = (
             self.connection.read_all(message)
             if self.request.exchange.message.method != b"HEAD"
             else b""
         )
-        return ServerAnswer(
+        return ServerResponse(
             message.status, message.reason, end_to_end(message.headers), body
         )
 
@@ -231,7 +234,7 @@
 
     def _tokens(self) -> int:
         if self.request.engine is None or not self.request.splitter.count:
-            return max(1, self.request.facts.max_tokens or 1)
+            return max(1, self.request.metadata.max_tokens or 1)
         return self.request.splitter.count * self.request.engine.tokens_per_event
 
     def _keep_connection(self, message: AnswerMessage) -> None:
--- a/packages/endive_gateway/src/endive_gateway/ordering.py
+++ b/packages/endive_gateway/src/endive_gateway/autoscaling.py
@@ -7,18 +7,18 @@
     RECLAIMED_BACKOFF_S,
     CapacityView,
     Pool,
+    PoolBackoff,
     PoolState,
-    Refused,
     desired_servers,
 )
 from endive_core.leases import Lease
-from endive_core.load_sizing import USED_PART, LoadMeter
+from endive_core.load_sizing import TARGET_UTILISATION, LoadMeter
 from endive_core.routing import Service
 from endive_node.logs import log_event
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
-from endive_gateway.exceptions import CloudEmptyError, CloudError
+from endive_gateway.exceptions import CloudCapacityError, CloudError
 from endive_gateway.interfaces import Order
 from endive_gateway.peers import Peers
 
@@ -37,7 +37,7 @@
 in 1.2 s, and the list is read each 0.7 s. An order whose servers are missing then is
 sent again."""
 
-UNMEASURED_S = 8.0
+LOAD_WARM_UP_S = 8.0
 """Time of traffic after which the measured load is trusted, seconds. Until then the
 servers that are there at the start say how many are needed."""
 
@@ -60,7 +60,7 @@
 """Time after the list of servers was first read until it is taken to be whole,
 seconds: each server writes once in 1.2 s."""
 
-LEAST_NEEDED = 1.6
+MIN_NEEDED_SERVERS = 1.6
 """Servers needed at the least, whatever the load: with fewer, one crash leaves one."""
 
 
@@ -75,7 +75,7 @@
         self.begun_with: dict[str, int] = {}
         self.traffic_since: float | None = None
         self.taken: dict[tuple[str, Pool], tuple[int, float]] = {}
-        self.refused: dict[tuple[str, Pool], Refused] = {}
+        self.refused: dict[tuple[str, Pool], PoolBackoff] = {}
         self.next_try_at = 0.0
         self.reclaimed_at: dict[str, float] = {}
         self.lower_since: dict[tuple[str, Pool], float] = {}
@@ -105,7 +105,7 @@
         the servers seen so far call for: they take 4 s to start, on-demand ones run
         meanwhile, and more can be ordered at the next step.
         """
-        if now < self.next_try_at or not self.context.registry.known_once:
+        if now < self.next_try_at or not self.context.registry.is_loaded:
             return
         settled = self._settled(now)
         for service in self._scaled():
@@ -124,7 +124,7 @@
 
     def measure(self, now: float) -> None:
         """Take in the fleet's load; every node does, to know it when it takes over."""
-        total: dict[str, float] = dict(self.context.work.told)
+        total: dict[str, float] = dict(self.context.work.smoothed)
         for peer in self.peers.live():
             for service, work in peer.work.items():
                 total[service] = total.get(service, 0.0) + work
@@ -136,7 +136,9 @@
     def needed(self, service: Service, now: float) -> float:
         """Return the servers that carry the service's load."""
         load = self.loads.get(service.name)
-        needed = max(LEAST_NEEDED, load.peak() / USED_PART if load else 0.0)
+        needed = max(
+            MIN_NEEDED_SERVERS, load.peak() / TARGET_UTILISATION if load else 0.0
+        )
         if self._is_measured(now):
             return needed
         if self.traffic_since is None:
@@ -145,7 +147,7 @@
 
     def _is_measured(self, now: float) -> bool:
         since = self.traffic_since
-        return since is not None and now - since >= UNMEASURED_S
+        return since is not None and now - since >= LOAD_WARM_UP_S
 
     def _settled(self, now: float) -> bool:
         """Return whether the servers there are have had time to register.
@@ -259,7 +261,7 @@
         order = Order(service.name, pool.zone, servers, pool.reclaimable)
         try:
             self.context.cloud.order(node, lease.fence, order)
-        except CloudEmptyError:
+        except CloudCapacityError:
             self._note_refusal(key, refusal, now)
             return
         except CloudError as error:
@@ -284,10 +286,10 @@
             return REPEAT_S
         return min(REPEAT_S, service.scaling.boot_s + STARTED_S)
 
-    def _note_refusal(self, key, refusal: Refused | None, now: float) -> None:
+    def _note_refusal(self, key, refusal: PoolBackoff | None, now: float) -> None:
         pause = RECLAIMED_BACKOFF_S
         if refusal is not None:
             pause = min(MAX_BACKOFF_S, 2 * refusal.pause_s)
-        self.refused[key] = Refused(now + pause, pause)
+        self.refused[key] = PoolBackoff(now + pause, pause)
         self.taken.pop(key, None)
         log_event("order_refused", service=key[0], pool=key[1], pause_s=pause)
--- a/packages/endive_gateway/src/endive_gateway/configuration.py
+++ b/packages/endive_gateway/src/endive_gateway/configuration.py
@@ -6,7 +6,11 @@
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
-from endive_gateway.exceptions import StoreError, StoreForgottenError, UndecodableError
+from endive_gateway.exceptions import (
+    StoreError,
+    StoreOffsetOutOfRangeError,
+    UndecodableError,
+)
 from endive_gateway.following import Follower, Readers
 from endive_gateway.interfaces import Record, Topic
 from endive_gateway.loops import keep_running
@@ -127,7 +131,7 @@
             return max(CHECK_LOOK_S, left_s)
         try:
             self._read_at_once()
-        except StoreForgottenError:
+        except StoreOffsetOutOfRangeError:
             self.synced = False
             return CHECK_LOOK_S
         except StoreError as error:
@@ -142,8 +146,10 @@
     def _check_again_s(self, asked_at: float) -> float:
         """Return the time to the next check after one that got no answer."""
         nodes = 1 if self.readers is None else self.readers.live_nodes()
-        turns_s = self.freshness.turns_s(nodes) * self.context.random.uniform(0.7, 1.3)
-        pause_s = max(self._backed_off(), turns_s)
+        retry_delay_s = self.freshness.retry_delay_s(
+            nodes
+        ) * self.context.random.uniform(0.7, 1.3)
+        pause_s = max(self._backed_off(), retry_delay_s)
         return max(CHECK_LOOK_S, asked_at + pause_s - boot_time())
 
     def _read_at_once(self) -> None:
--- a/packages/endive_gateway/src/endive_gateway/connections.py
+++ b/packages/endive_gateway/src/endive_gateway/connections.py
@@ -10,9 +10,13 @@
 import gevent
 from gevent import socket as gsocket
 
-from endive_gateway.exceptions import BadMessageError, BrokenError, ConnectionEndedError
+from endive_gateway.exceptions import (
+    BadMessageError,
+    ConnectionBrokenError,
+    ConnectionEndedError,
+)
 from endive_gateway.http import AnswerMessage, AnswerParser
-from endive_gateway.interfaces import AnswerFacts, Wire, header_value
+from endive_gateway.interfaces import ResponseMetadata, Wire, header_value
 
 CONNECT_TIMEOUT_S = 0.6
 """Longest time to open a connection, seconds. It takes a few milliseconds within a
@@ -58,7 +62,7 @@
         self.reusable = True
         self.sender: gevent.Greenlet | None = None
 
-    def is_quiet(self, now: float) -> bool:
+    def is_reusable(self, now: float) -> bool:
         """Return whether the server has neither closed nor said anything unasked."""
         if now - self.used_at > self.idle_s * IDLE_PART:
             return False
@@ -71,7 +75,7 @@
         return False
 
     def send(self, head: bytes, body: bytes) -> None:
-        """Send a request; raises :class:`BrokenError`."""
+        """Send a request; raises :class:`ConnectionBrokenError`."""
         self.requests += 1
         self.parser.messages.clear()
         try:
@@ -81,7 +85,7 @@
                 self.sock.sendall(head)
                 self.sender = gevent.spawn(self._send_body, body)
         except OSError as error:
-            raise BrokenError(f"sending: {error}", sent=True) from None
+            raise ConnectionBrokenError(f"sending: {error}", sent=True) from None
 
     def _send_body(self, body: bytes) -> None:
         """Send a long body while the answer may already come."""
@@ -123,7 +127,7 @@
                 message.complete = True
 
     def read_all(self, message: AnswerMessage) -> bytes:
-        """Return the rest of the body; raises :class:`BrokenError`."""
+        """Return the rest of the body; raises :class:`ConnectionBrokenError`."""
         pieces = []
         while data := self.read_body(message):
             pieces.append(data)
@@ -133,7 +137,7 @@
         try:
             data = self.sock.recv(READ_BYTES)
         except OSError as error:
-            raise BrokenError(f"reading: {error}", sent=True) from None
+            raise ConnectionBrokenError(f"reading: {error}", sent=True) from None
         if not data:
             raise ConnectionEndedError("the server closed the connection", sent=True)
         try:
@@ -141,7 +145,7 @@
         except BadMessageError as error:
             self.reusable = False
             if not any(message.complete for message in self.parser.messages):
-                raise BrokenError(f"no answer: {error}", sent=True) from None
+                raise ConnectionBrokenError(f"no answer: {error}", sent=True) from None
 
     def finish(self, message: AnswerMessage) -> bool:
         """Note that an answer is whole; return whether another request may follow.
@@ -177,7 +181,7 @@
         """Connect to ``IP:port``; raises :class:`BrokenError`."""
         return cls(connect(address), wire)
 
-    def read_head(self, request_id: str) -> tuple[AnswerMessage, AnswerFacts]:
+    def read_head(self, request_id: str) -> tuple[AnswerMessage, ResponseMetadata]:
         """Return the answer to `request_id`, as soon as its head is there.
 
         A server may answer an earlier request once more, late. The id tells such an
@@ -191,11 +195,11 @@
         while True:
             while self.parser.messages and self.parser.messages[0].head_done:
                 message = self.parser.messages[0]
-                facts = self.wire.decode_answer(message.headers)
-                if message.status >= 200 and _answers(message, facts, request_id):
-                    return message, facts
+                metadata = self.wire.decode_response(message.headers)
+                if message.status >= 200 and _answers(message, metadata, request_id):
+                    return message, metadata
                 if message.ends_with_connection:
-                    raise BrokenError("another request's answer", sent=True)
+                    raise ConnectionBrokenError("another request's answer", sent=True)
                 if not message.complete:
                     break
                 if message.status >= 200:
@@ -216,10 +220,10 @@
         watch_for_silence(sock)
     except ConnectionRefusedError as error:
         sock.close()
-        raise BrokenError(str(error), sent=False, refused=True) from None
+        raise ConnectionBrokenError(str(error), sent=False, refused=True) from None
     except (OSError, ValueError) as error:
         sock.close()
-        raise BrokenError(str(error), sent=False) from None
+        raise ConnectionBrokenError(str(error), sent=False) from None
     except BaseException:
         sock.close()
         raise
@@ -254,12 +258,14 @@
     return True
 
 
-def _answers(message: AnswerMessage, facts: AnswerFacts, request_id: str) -> bool:
-    if facts.request_id:
-        return facts.request_id == request_id
+def _answers(
+    message: AnswerMessage, metadata: ResponseMetadata, request_id: str
+) -> bool:
+    if metadata.request_id:
+        return metadata.request_id == request_id
     # A server that refuses before it has read the request may not name it; a success
     # without a name could be anybody's.
-    return message.status >= 400 and facts.not_run
+    return message.status >= 400 and metadata.not_run
 
 
 def _idle_timeout(message: AnswerMessage) -> float | None:
@@ -283,12 +289,12 @@
         self.opened = 0
 
     def take(self, server_id: str, address: str) -> ServerConnection:
-        """Return a connection to a server; raises :class:`BrokenError`."""
+        """Return a connection to a server; raises :class:`ConnectionBrokenError`."""
         idle = self.idle[server_id]
         now = time.monotonic()
         while idle:
             connection = idle.pop()
-            if connection.is_quiet(now):
+            if connection.is_reusable(now):
                 return connection
             connection.close()
         self.opened += 1
@@ -307,7 +313,7 @@
         """Close what its server is about to close."""
         now = time.monotonic()
         for server_id, idle in list(self.idle.items()):
-            while idle and not idle[0].is_quiet(now):
+            while idle and not idle[0].is_reusable(now):
                 idle.popleft().close()
             if not idle:
                 del self.idle[server_id]
--- a/packages/endive_gateway/src/endive_gateway/context.py
+++ b/packages/endive_gateway/src/endive_gateway/context.py
@@ -4,11 +4,11 @@
 import time
 from collections.abc import Callable
 
-from endive_core.clocks import TrueTime
-from endive_core.metering import Meter
+from endive_core.clocks import ClusterClock
+from endive_core.metering import UsageMeter
 from endive_core.retrying import FleetRetryBudget
-from endive_core.routing import CallerLimits, OrganisationTerms, RoutingTable
-from endive_core.sharing import SharedLimits
+from endive_core.routing import CallerLimits, OrganisationLimits, RoutingTable
+from endive_core.shared_limits import SharedLimits
 from endive_node.logs import log_event
 from gevent.event import Event
 
@@ -17,7 +17,7 @@
 from endive_gateway.metrics import GatewayMetrics
 from endive_gateway.placing import Placer
 from endive_gateway.servers import ServerRegistry
-from endive_gateway.working import WorkMeter
+from endive_gateway.workload import WorkloadMeter
 
 START_WAIT_S = 0.5
 """Time after the start for which a request may wait until the configuration and the
@@ -65,12 +65,12 @@
         self.placer = Placer(self.registry, is_listening=is_listening)
         self.pool = ConnectionPool(wire)
         self.limits = SharedLimits(time.monotonic(), slack=settings.bounds.quota_slack)
-        self.meter = Meter(settings.bounds.usage_window_s)
-        self.true_time = TrueTime(time.monotonic, time.time)
+        self.meter = UsageMeter(settings.bounds.usage_window_s)
+        self.cluster_clock = ClusterClock(time.monotonic, time.time)
         self.budgets: dict[str, FleetRetryBudget] = {}
         self.metrics = GatewayMetrics()
-        self.work = WorkMeter()
-        self.take_units: Callable[[OrganisationTerms, float], float] = self._take_alone
+        self.work = WorkloadMeter()
+        self.take_units: Callable[[OrganisationLimits, float], float] = self._take_alone
         self.on_prompt: Callable[[str, float, float], None] = lambda *sent: None
         self.informed = Event()
         self.registry.listeners.append(self._see_informed)
@@ -87,12 +87,12 @@
         """Return the limits in force."""
         return self.table.limits if self.table else CallerLimits()
 
-    def terms(self, organisation: str) -> OrganisationTerms | None:
+    def terms(self, organisation: str) -> OrganisationLimits | None:
         """Return the terms in force of an organisation."""
         organisations = self.table.organisations if self.table else None
         return (organisations or {}).get(organisation)
 
-    def _take_alone(self, terms: OrganisationTerms, units: float) -> float:
+    def _take_alone(self, terms: OrganisationLimits, units: float) -> float:
         """Spend without a word to other nodes."""
         return self.limits.wait_s(
             terms.name, units, time.monotonic(), rate=terms.rate, burst=terms.burst
@@ -119,7 +119,7 @@
         return True
 
     def _see_informed(self) -> None:
-        if self.table is not None and self.registry.known_once:
+        if self.table is not None and self.registry.is_loaded:
             self.informed.set()
 
     def await_information(self) -> None:
--- a/packages/endive_gateway/src/endive_gateway/duties.py
+++ b/packages/endive_gateway/src/endive_gateway/duties.py
@@ -7,17 +7,17 @@
 from endive_core.leases import DutyKind, DutyLog, DutyRecord, Lease
 from endive_node.logs import log_event
 
+from endive_gateway.autoscaling import Ordering
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
 from endive_gateway.exceptions import (
     CloudError,
     StoreConflictError,
     StoreError,
-    StoreForgottenError,
-    StoreUncertainError,
+    StoreOffsetOutOfRangeError,
+    StoreOutcomeUnknownError,
 )
 from endive_gateway.interfaces import Topic
-from endive_gateway.ordering import Ordering
 from endive_gateway.peers import Peers
 
 LEASE_S = 2.4
@@ -32,7 +32,7 @@
 RENEW_LEFT_S = 1.1
 """Time left at which the holder renews, seconds: two tries fit in it."""
 
-STEP_S = 0.25
+DUTY_INTERVAL_S = 0.25
 """How often the holder looks whether there is something to do, seconds."""
 
 RANK_S = 0.4
@@ -60,7 +60,7 @@
         self.context = context
         self.peers = peers
         self.ordering = ordering
-        self.me = context.settings.place.node
+        self.me = context.settings.location.node
         self.log = DutyLog(lease_s=LEASE_S, margin_s=MARGIN_S)
         self.lease = Lease()
         self.wanted = True
@@ -76,7 +76,7 @@
         while True:
             try:
                 self.step()
-            except StoreForgottenError as error:
+            except StoreOffsetOutOfRangeError as error:
                 self.next = error.first
             except StoreConflictError:
                 self._read_quietly()
@@ -86,7 +86,7 @@
             self.ordering.measure(boot_time())
             self.peers.fence = self.lease.fence if self._held() else 0
             self.peers.see_duty_end(self.log.end)
-            gevent.sleep(STEP_S)
+            gevent.sleep(DUTY_INTERVAL_S)
 
     def step(self) -> None:
         """Act once, as holder or as candidate; raises StoreError."""
@@ -96,7 +96,7 @@
             if self.lease.fence:
                 log_event("duties_lost", fence=self.lease.fence)
                 self.lease.drop()
-            if self.wanted and self._is_due():
+            if self.wanted and self._should_claim():
                 self._try_claim()
 
     def _held(self) -> bool:
@@ -104,7 +104,7 @@
 
     # Taking over
 
-    def _is_due(self) -> bool:
+    def _should_claim(self) -> bool:
         """Return whether no holder is heard, for as long as this node's rank says.
 
         A holder that dies or that the store turns away is heard of for seconds more.
@@ -140,7 +140,7 @@
 
     def _try_claim(self) -> None:
         if self.peers.duty_moved_at is not None:
-            self.log.hear_end(self.peers.duty_end, self.peers.duty_moved_at)
+            self.log.observe_peer_end(self.peers.duty_end, self.peers.duty_moved_at)
         self._read()
         if not self.log.may_claim(self.me, boot_time()):
             return
@@ -196,7 +196,7 @@
             offset = self.context.store.append(
                 Topic.DUTIES, msgspec.json.encode(record), at=at
             )
-        except (StoreConflictError, StoreUncertainError):
+        except (StoreConflictError, StoreOutcomeUnknownError):
             self._read()
             if self.last_read == record:
                 return self.log.end - 1
@@ -205,7 +205,7 @@
             raise
         self.log.fold(offset, record)
         self.next = offset + 1
-        self.log.see_end(self.next, boot_time())
+        self.log.observe_end(self.next, boot_time())
         return offset
 
     def _record(self, kind: DutyKind, body: dict) -> DutyRecord:
@@ -231,12 +231,12 @@
                 continue
             self.last_read = record
             self.log.fold(entry.offset, record)
-        self.log.see_end(page.end, boot_time())
+        self.log.observe_end(page.end, boot_time())
 
     def _read_quietly(self) -> None:
         try:
             self._read()
-        except StoreForgottenError as error:
+        except StoreOffsetOutOfRangeError as error:
             self.next = error.first
         except StoreError as error:
             log_event("duties_store_failed", error=error)
@@ -247,7 +247,7 @@
         """Report each window once it is over and counted."""
         if time.monotonic() < self.next_try_at:
             return
-        settled = self.context.true_time.now() - SETTLE_S
+        settled = self.context.cluster_clock.now() - SETTLE_S
         newest = self.context.meter.window_of(settled) - 1
         known = max(self.context.reported, self.log.reported)
         for window in range(max(known + 1, self._oldest(newest)), newest + 1):
@@ -261,7 +261,7 @@
         bounds = self.context.settings.bounds
         late = int(bounds.usage_late_s // bounds.usage_window_s)
         ran_for = time.monotonic() - self.context.started_at
-        start = self.context.true_time.now() - ran_for
+        start = self.context.cluster_clock.now() - ran_for
         return max(newest - late, self.context.meter.window_of(start))
 
     def _decide_window(self, window: int) -> None:
--- a/packages/endive_gateway/src/endive_gateway/exceptions.py
+++ b/packages/endive_gateway/src/endive_gateway/exceptions.py
@@ -2,18 +2,18 @@
 
 from endive_core.exceptions import EndiveError, ErrorKind, RetryReason
 
-from endive_gateway.interfaces import ServerAnswer
+from endive_gateway.interfaces import ServerResponse
 
 
 class StoreError(Exception):
     """A call to the store that did nothing: refused, or never arrived."""
 
 
-class StoreUncertainError(StoreError):
+class StoreOutcomeUnknownError(StoreError):
     """A call without an answer: it may have been done, or may still be."""
 
 
-class StoreForgottenError(StoreError):
+class StoreOffsetOutOfRangeError(StoreError):
     """Records that are older than the store keeps; ``first`` is the oldest kept."""
 
     def __init__(self, first: int) -> None:
@@ -33,7 +33,7 @@
     """A call to the cloud that was refused or not answered."""
 
 
-class CloudEmptyError(CloudError):
+class CloudCapacityError(CloudError):
     """The cloud has no servers of the kind ordered just now."""
 
 
@@ -59,7 +59,7 @@
         self.status = status
 
 
-class BrokenError(Exception):
+class ConnectionBrokenError(Exception):
     """A connection to a server that ended or failed in the middle.
 
     Attributes
@@ -76,7 +76,7 @@
         self.refused = refused
 
 
-class ConnectionEndedError(BrokenError):
+class ConnectionEndedError(ConnectionBrokenError):
     """The server closed the connection in good order."""
 
 
@@ -112,7 +112,7 @@
         *,
         started: bool,
         counts: bool = True,
-        answer: ServerAnswer | None = None,
+        answer: ServerResponse | None = None,
     ) -> None:
         super().__init__(message)
         self.reason = reason
--- a/packages/endive_gateway/src/endive_gateway/following.py
+++ b/packages/endive_gateway/src/endive_gateway/following.py
@@ -9,10 +9,14 @@
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.context import Context
-from endive_gateway.exceptions import StoreError, StoreForgottenError, UndecodableError
+from endive_gateway.exceptions import (
+    StoreError,
+    StoreOffsetOutOfRangeError,
+    UndecodableError,
+)
 from endive_gateway.interfaces import Page, Record, ServerNews, ServerState, Topic
 from endive_gateway.servers import RETURN_GRACE_S
-from endive_gateway.tellings import pack_changes, unpack_changes
+from endive_gateway.state_messages import pack_changes, unpack_changes
 
 SERVERS_GAP_S = 0.7
 """Time between two reads of the servers, seconds. A leaving server may get requests
@@ -120,7 +124,7 @@
                 self._read_newest()
             else:
                 self._read_on()
-        except StoreForgottenError:
+        except StoreOffsetOutOfRangeError:
             log_event("store_forgot", topic=self.topic, next=self.next)
             self.synced = False
             return 0.0
@@ -299,7 +303,7 @@
             changes = pack_changes(self.changes)
         return ServerNews(self.floor, self.next, changes)
 
-    def hear(self, news: ServerNews) -> None:
+    def receive(self, news: ServerNews) -> None:
         """Take over what a reader read, if it joins what this node knows.
 
         What happened in between, if it doesn't, may be a server that leaves: when a
@@ -335,16 +339,16 @@
                 self.dirty |= registry.drop(
                     missing, now, after_outage=self.after_outage
                 )
-        self.dirty |= not registry.known_once
-        registry.known_once = True
+        self.dirty |= not registry.is_loaded
+        registry.is_loaded = True
         self.marks.append((now, self.next))
         if registry.has_lapsed:
             gevent.spawn_later(RETURN_GRACE_S + TIMER_EARLY_S, self._sweep)
         if self.dirty:
             self.dirty = False
-            registry.changed()
+            registry.notify_listeners()
 
     def _sweep(self) -> None:
         """Give up the servers whose grace is over, without waiting for a read."""
         if self.context.registry.sweep(time.monotonic()):
-            self.context.registry.changed()
+            self.context.registry.notify_listeners()
--- a/packages/endive_gateway/src/endive_gateway/forwarding.py
+++ b/packages/endive_gateway/src/endive_gateway/forwarding.py
@@ -7,7 +7,7 @@
 from endive_core.exceptions import EndiveError, ErrorKind
 from endive_core.hashing import fingerprint
 from endive_core.prefixes import part_blocks
-from endive_core.routing import OrganisationTerms, Route, RouteKind
+from endive_core.routing import OrganisationLimits, Route, RouteKind
 from endive_node.logs import log_event, log_failure
 
 from endive_gateway.attempts import Attempt
@@ -22,7 +22,7 @@
     OutOfTimeError,
 )
 from endive_gateway.http import host_name
-from endive_gateway.interfaces import RequestFacts, ServerAnswer, header_value
+from endive_gateway.interfaces import RequestMetadata, ServerResponse, header_value
 from endive_gateway.progress import Progress
 from endive_gateway.statuses import NOT_RUN_STATUSES, make_true
 
@@ -67,10 +67,10 @@
     def __init__(self, context: Context, exchange: Exchange) -> None:
         self.context = context
         self.exchange = exchange
-        self.facts = RequestFacts("")
+        self.metadata = RequestMetadata("")
         self.progress = Progress(exchange.received_at)
         self.route: Route | None = None
-        self.terms: OrganisationTerms | None = None
+        self.terms: OrganisationLimits | None = None
         self.organisation = ""
         self.ticket: Ticket | None = None
         self.splitter = EventSplitter()
@@ -103,7 +103,7 @@
             self.outcome = "caller_gone"
             raise
         except Exception as error:
-            log_failure("request_failed", request=self.facts.id, error=repr(error))
+            log_failure("request_failed", request=self.metadata.id, error=repr(error))
             self.may_have_run |= self.in_flight
             self._refuse(EndiveError(ErrorKind.INTERNAL, repr(error)))
         finally:
@@ -116,7 +116,7 @@
         context = self.context
         message = self.exchange.message
         try:
-            self.facts = context.wire.decode_request(message.headers)
+            self.metadata = context.wire.decode_request(message.headers)
         except BadHeaderError as error:
             raise EndiveError(ErrorKind.INVALID_FIELD, str(error)) from None
         context.await_information()
@@ -130,17 +130,17 @@
         self.route = table.match(host_name(host), path)
         if self.route is None:
             raise EndiveError(ErrorKind.NOT_FOUND, "no route")
-        if not table.allows(self.route, self.facts.key):
+        if not table.allows(self.route, self.metadata.key):
             raise EndiveError(ErrorKind.UNAUTHENTICATED, "unknown key")
-        self.organisation = table.keys.get(self.facts.key, "")
+        self.organisation = table.keys.get(self.metadata.key, "")
         if table.organisations is not None:
             self.terms = table.organisations.get(self.organisation)
 
     def left_s(self) -> float:
         """Return the time that the request has left, seconds."""
         budget = self.route.timeout_s
-        if self.facts.budget_s is not None:
-            budget = min(budget, self.facts.budget_s)
+        if self.metadata.budget_s is not None:
+            budget = min(budget, self.metadata.budget_s)
         return budget - (self.now - self.exchange.received_at)
 
     def _check_time(self) -> None:
@@ -167,50 +167,50 @@
         self.ticket = self.context.placer.admit(service, call)
 
     def _call(self) -> Call:
-        facts, route = self.facts, self.route
+        metadata, route = self.metadata, self.route
         priority = route.priority
         if self.terms is not None and self.terms.priority is not None:
             priority = self.terms.priority
         self.usual_urgency = min(LAST_URGENCY, priority)
         blocks, ends = part_blocks(
-            facts.model, [(part.id, part.tokens) for part in facts.parts]
+            metadata.model, [(part.id, part.tokens) for part in metadata.parts]
         )
         now = self.now
-        self.progress.prompt_tokens = facts.prompt_tokens or 0
+        self.progress.prompt_tokens = metadata.prompt_tokens or 0
         spent = now - self.exchange.received_at
         content = b"\0".join(
-            (self.exchange.message.target, facts.key.encode(), self.exchange.body)
+            (self.exchange.message.target, metadata.key.encode(), self.exchange.body)
         )
         return Call(
-            request_id=facts.id,
+            request_id=metadata.id,
             organisation=self.organisation,
             deployment=route.name,
             level=-priority,
-            prompt_tokens=(facts.prompt_tokens or 0) if route.engine else 0,
-            max_tokens=max(1, facts.max_tokens or 1) if route.engine else 1,
+            prompt_tokens=(metadata.prompt_tokens or 0) if route.engine else 0,
+            max_tokens=max(1, metadata.max_tokens or 1) if route.engine else 1,
             blocks=blocks if route.engine else (),
             block_ends=ends if route.engine else (),
             target_s=max(0.01, route.target_s - spent),
             deadline=now + self.left_s(),
             fingerprint=fingerprint(content.decode("latin-1")),
-            non_idempotent=not route.repeatable,
+            non_idempotent=not route.retryable,
         )
 
     def _spend_quota(self, call: Call) -> None:
         terms = self.terms
         if terms is None or terms.rate <= 0:
             return
-        units = terms.units(self.facts.prompt_tokens, self.facts.max_tokens)
+        units = terms.units(self.metadata.prompt_tokens, self.metadata.max_tokens)
         wait = self.context.take_units(terms, units)
         if wait > 0:
             log_event(
                 "limit_exceeded",
-                request=self.facts.id,
+                request=self.metadata.id,
                 organisation=terms.name,
                 units=units,
                 rate=terms.rate,
                 wait_s=wait,
-                part=self.context.limits.part(self.now),
+                part=self.context.limits.reachable_share(self.now),
             )
             raise EndiveError(
                 ErrorKind.LIMIT_EXCEEDED,
@@ -241,7 +241,7 @@
                 return
 
     @property
-    def urgency(self) -> int:
+    def server_priority(self) -> int:
         """The urgency at the server, from 0, which goes first."""
         return LAST_URGENCY if self.ticket.yields else self.usual_urgency
 
@@ -260,7 +260,7 @@
             since = self.exchange.received_at
             self.context.metrics.first_bytes.add(self.now - since)
             stream = self.route.kind is RouteKind.STREAM
-            at = self.context.true_time.now() if stream else self.sent_at
+            at = self.context.cluster_clock.now() if stream else self.sent_at
             self.context.meter.begin(self.organisation, at)
 
     # After a failed attempt
@@ -279,7 +279,7 @@
         self.context.metrics.retries[str(error.reason)] += 1
         log_event(
             "attempt_failed",
-            request=self.facts.id,
+            request=self.metadata.id,
             server=self.servers[-1] if self.servers else "",
             attempt=self.ticket.attempt,
             reason=error.reason,
@@ -320,7 +320,7 @@
             raise EndiveError(ErrorKind.BACKEND_REJECTED, "the server refused")
         if not error.counts:
             return
-        if error.started and not self.route.repeatable:
+        if error.started and not self.route.retryable:
             raise EndiveError(ErrorKind.OUTCOME_UNKNOWN, "the request may have run")
         if self.ticket.attempt >= self.route.max_attempts + self.uncounted:
             raise EndiveError(
@@ -332,7 +332,7 @@
         if not budget.spend(self.now, nodes=self.context.nodes):
             raise EndiveError(ErrorKind.RETRY_BUDGET_SPENT, "too many repeats")
 
-    def _pass_failure(self, answer: ServerAnswer) -> None:
+    def _pass_failure(self, answer: ServerResponse) -> None:
         """Pass on a server's own failure, unless it would promise too much."""
         self.outcome = f"server_{answer.status}"
         if answer.status in NOT_RUN_STATUSES:
@@ -356,8 +356,10 @@
             return
         status = make_true(error, self.may_have_run)
         if self.units and not self.may_have_run:
-            self.context.limits.give_back(self.terms.name, self.units)
-        self.exchange.refuse(error, status, self.context.wire.own_answer(self.facts))
+            self.context.limits.refund(self.terms.name, self.units)
+        self.exchange.refuse(
+            error, status, self.context.wire.own_response_headers(self.metadata)
+        )
 
     def _release(self) -> None:
         if self.ticket is not None:
@@ -367,7 +369,7 @@
         self._count_outcome()
         log_event(
             "request",
-            request=self.facts.id,
+            request=self.metadata.id,
             route=self.route.name if self.route else "",
             organisation=self.organisation,
             outcome=self.outcome or "failed",
--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -10,6 +10,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
+from endive_gateway.autoscaling import Ordering
 from endive_gateway.callers import CallerListener
 from endive_gateway.configuration import ConfigurationFollower
 from endive_gateway.context import Context
@@ -19,9 +20,8 @@
 from endive_gateway.interfaces import Cloud, GatewaySettings, Store, Wire
 from endive_gateway.loops import keep_running
 from endive_gateway.metrics import MetricsServer
-from endive_gateway.ordering import Ordering
 from endive_gateway.peers import Peers
-from endive_gateway.prompts import PromptNotes
+from endive_gateway.prompts import PromptAnnouncer
 from endive_gateway.spending import SpendingNotes
 
 SWEEP_S = 0.5
@@ -58,24 +58,24 @@
         wire: Wire,
         store: Store,
         cloud: Cloud,
-        callers_port: socket.socket | None = None,
+        caller_socket: socket.socket | None = None,
     ) -> None:
         self.settings = settings
         self.context = Context(settings, wire, store, cloud)
-        place = settings.place
+        location = settings.location
         self.callers = CallerListener(
-            callers_port or listen_tcp(place.address, place.caller_port),
+            caller_socket or listen_tcp(location.address, location.caller_port),
             Forwarder(self.context),
             self.context.caller_limits,
         )
         self.readiness = StreamServer(
-            listen_tcp(place.address, place.ready_port), self._answer_ready
+            listen_tcp(location.address, location.ready_port), self._answer_ready
         )
         self.peers = Peers(self.context)
         self.spending = SpendingNotes(
             self.context, self.peers.believed, lambda: self.peers.sequence
         )
-        self.prompts = PromptNotes(
+        self.prompts = PromptAnnouncer(
             self.context.placer.backlogs, self.peers.believed, time.monotonic
         )
         self.configuration = ConfigurationFollower(self.context, self.peers)
@@ -94,13 +94,15 @@
         return (
             self.stopping_at is None
             and self.context.table is not None
-            and self.context.registry.known_once
+            and self.context.registry.is_loaded
         )
 
     def start(self) -> None:
         """Start all parts."""
-        place = self.settings.place
-        log_event("start", node=place.node, zone=place.zone, address=place.address)
+        location = self.settings.location
+        log_event(
+            "start", node=location.node, zone=location.zone, address=location.address
+        )
         loops = [
             self.configuration.run,
             self.servers.run,
@@ -109,16 +111,16 @@
         ]
         if self.settings.duties:
             loops.append(self.duties.run)
-        if place.metrics_port:
+        if location.metrics_port:
             self._show_state()
             self.metrics = MetricsServer(
-                place.address, place.metrics_port, self.context.metrics
+                location.address, location.metrics_port, self.context.metrics
             )
             self.metrics.start()
         self.peers.start()
-        self.spending.start(place.peer_port + 1)
-        self.prompts.datagrams.start(place.address, place.peer_port + 2)
-        self.context.on_prompt = self.prompts.sent
+        self.spending.start(location.peer_port + 1)
+        self.prompts.datagrams.start(location.address, location.peer_port + 2)
+        self.context.on_prompt = self.prompts.announce
         for loop in loops:
             gevent.spawn(keep_running, loop)
         self.readiness.start()
@@ -126,13 +128,19 @@
 
     def _show_state(self) -> None:
         """Let the metrics show how fresh what the store says is here."""
-        show = self.context.metrics.show
-        show("endive_configuration_version", lambda: self.context.version)
-        show("endive_configuration_proof_age_seconds", self.configuration.proof_age_s)
+        add_gauge = self.context.metrics.add_gauge
+        add_gauge("endive_configuration_version", lambda: self.context.version)
+        add_gauge(
+            "endive_configuration_proof_age_seconds", self.configuration.proof_age_s
+        )
         for follower in (self.configuration, self.servers):
             topic = follower.topic.value
-            show("endive_store_answer_age_seconds", follower.answer_age_s, topic=topic)
-            show("endive_store_read_waiting_seconds", follower.waiting_s, topic=topic)
+            add_gauge(
+                "endive_store_answer_age_seconds", follower.answer_age_s, topic=topic
+            )
+            add_gauge(
+                "endive_store_read_waiting_seconds", follower.waiting_s, topic=topic
+            )
 
     def _answer_ready(self, sock, _address) -> None:
         """Answer the balancer's question; whatever it asks for, there is one answer."""
@@ -152,9 +160,9 @@
         if settings == self.settings:
             log_event("reload", changed="nothing")
             return
-        if settings.place != self.settings.place:
-            log_event("reload", kept=self.settings.place, found=settings.place)
-            settings = replace(settings, place=self.settings.place)
+        if settings.location != self.settings.location:
+            log_event("reload", kept=self.settings.location, found=settings.location)
+            settings = replace(settings, location=self.settings.location)
         log_event("reload", bounds=settings.bounds, duties=sorted(settings.duties))
         self.settings = self.context.settings = settings
 
@@ -175,6 +183,6 @@
         while time.monotonic() < end and self.callers.busy:
             self.callers.close_idle()
             gevent.sleep(DRAIN_LOOK_S)
-        self.peers.tell(gone=True)
+        self.peers.send_state(gone=True)
         log_event("stopped", unfinished=self.callers.busy)
         self.stopped.set()
--- a/packages/endive_gateway/src/endive_gateway/interfaces.py
+++ b/packages/endive_gateway/src/endive_gateway/interfaces.py
@@ -109,7 +109,7 @@
         ...
 
     def order(self, holder: str, fence: int, order: Order) -> None:
-        """Order servers; raises :class:`CloudEmptyError` or :class:`CloudError`."""
+        """Order servers; raises :class:`CloudCapacityError` or :class:`CloudError`."""
         ...
 
 
@@ -180,7 +180,7 @@
 
 
 @dataclass(slots=True)
-class RequestFacts:
+class RequestMetadata:
     """What a caller's headers say of its request.
 
     Attributes
@@ -200,11 +200,11 @@
     prompt_tokens: int | None = None
     max_tokens: int | None = None
     parts: tuple[PromptPart, ...] = ()
-    last_event: str = ""
+    last_event_id: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
+class ForwardingMetadata:
     """What this node adds when it sends a request to a server.
 
     Attributes
@@ -224,13 +224,13 @@
     server_id: str
     organisation: str
     left_s: float
-    urgency: int = 5
-    last_event: str = ""
-    copy: str = ""
+    server_priority: int = 5
+    last_event_id: str = ""
+    kv_source: str = ""
 
 
 @dataclass(slots=True)
-class AnswerFacts:
+class ResponseMetadata:
     """What a server's headers say of its answer.
 
     Attributes
@@ -244,7 +244,7 @@
     """
 
     request_id: str = ""
-    sealed: bool = False
+    signed: bool = False
     not_run: bool = False
     server_id: str = ""
     running: int | None = None
@@ -253,7 +253,7 @@
 
 
 @dataclass(frozen=True)
-class ServerAnswer:
+class ServerResponse:
     """A whole answer that a server gave."""
 
     status: int
@@ -265,25 +265,28 @@
 class Wire(Protocol):
     """Translates headers between the platform's names and ours."""
 
-    def decode_request(self, headers: Headers) -> RequestFacts:
+    def decode_request(self, headers: Headers) -> RequestMetadata:
         """Return what a caller's headers say; raises :class:`BadHeaderError`."""
         ...
 
     def encode_request(
-        self, headers: Headers, facts: RequestFacts, sending: Sending
+        self,
+        headers: Headers,
+        metadata: RequestMetadata,
+        forwarding: ForwardingMetadata,
     ) -> Headers:
         """Return the caller's headers, cleaned, with what this node adds."""
         ...
 
-    def kept(self) -> frozenset[bytes]:
+    def end_to_end_headers(self) -> frozenset[bytes]:
         """Return the lower-case names that a caller can't keep from the servers."""
         ...
 
-    def decode_answer(self, headers: Headers) -> AnswerFacts:
+    def decode_response(self, headers: Headers) -> ResponseMetadata:
         """Return what a server's headers say."""
         ...
 
-    def own_answer(self, facts: RequestFacts) -> Headers:
+    def own_response_headers(self, metadata: RequestMetadata) -> Headers:
         """Return the headers of an answer that this node makes itself."""
         ...
 
@@ -322,7 +325,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class NodeLocation:
     """Where this node is, and where others may be found.
 
     Attributes
@@ -348,7 +351,7 @@
 class GatewaySettings:
     """What a gateway is told at its start."""
 
-    place: Place
+    location: NodeLocation
     bounds: Bounds = Bounds()
     duties: frozenset[str] = frozenset()
 
--- a/packages/endive_gateway/src/endive_gateway/listing.py
+++ b/packages/endive_gateway/src/endive_gateway/listing.py
@@ -41,8 +41,8 @@
 
     def __init__(self, context: Context, take: Callable[[list[str]], None]) -> None:
         self.context = context
-        self.node = context.settings.place.node
-        self.address = context.settings.place.address
+        self.node = context.settings.location.node
+        self.address = context.settings.location.address
         self.take = take
         self.is_read = Event()
 
--- a/packages/endive_gateway/src/endive_gateway/metrics.py
+++ b/packages/endive_gateway/src/endive_gateway/metrics.py
@@ -66,7 +66,7 @@
         self.gauges: dict[str, dict[tuple[tuple[str, str], ...], Gauge]] = {}
         self.page_maker = None
 
-    def show(self, name: str, gauge: Gauge, **labels: str) -> None:
+    def add_gauge(self, name: str, gauge: Gauge, **labels: str) -> None:
         """Let the page show what `gauge` returns; before the page is first made."""
         self.gauges.setdefault(name, {})[tuple(labels.items())] = gauge
 
--- a/packages/endive_gateway/src/endive_gateway/peers.py
+++ b/packages/endive_gateway/src/endive_gateway/peers.py
@@ -12,22 +12,22 @@
 
 import gevent
 from endive_core.crashes import Crash
-from endive_core.sharing import SILENT_S, Spender
+from endive_core.shared_limits import SILENCE_TIMEOUT_S, SpendingOrigin
 from endive_node.logs import log_event
 from gevent.event import Event
 
 from endive_gateway.clocks import boot_time
 from endive_gateway.configuration import ConfigurationFollower
+from endive_gateway.configuration_exchange import DocumentExchange
 from endive_gateway.context import Context
 from endive_gateway.datagrams import DatagramPort
-from endive_gateway.documents import DocumentExchange
 from endive_gateway.following import ServerFollower
 from endive_gateway.listing import NodeList
 from endive_gateway.nodes import Peer
-from endive_gateway.tellings import DECODER, Telling
+from endive_gateway.state_messages import DECODER, StateMessage
 
-TELL_S = 0.2
-TELL_PER_NODE_S = 0.01
+BROADCAST_INTERVAL_S = 0.2
+BROADCAST_INTERVAL_PER_NODE_S = 0.01
 """Time between two tellings, seconds, at least and for each node known. What one node
 sends and receives then stays under 200 datagrams a second however many nodes there
 are; the limits shared by them are counted over 8 seconds."""
@@ -84,10 +84,10 @@
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        place = context.settings.place
-        self.me = place.node
-        self.address = place.address
-        self.port = place.peer_port
+        location = context.settings.location
+        self.me = location.node
+        self.address = location.address
+        self.port = location.peer_port
         self.known: dict[str, Peer] = {}
         self.sequence = 0
         self.fence = 0
@@ -98,18 +98,18 @@
         self.documents = DocumentExchange(context, self.live)
         self.list = NodeList(context, self._take_listed)
         self.urgent = Event()
-        self.datagrams = DatagramPort("tellings", DECODER, self.hear)
+        self.datagrams = DatagramPort("tellings", DECODER, self.receive)
         self.loops: list[gevent.Greenlet] = []
         self.servers: ServerFollower | None = None
         self.configuration: ConfigurationFollower | None = None
-        for seed in place.seeds:
+        for seed in location.seeds:
             self._add(seed)
 
     def start(self) -> None:
         """Start listening and telling."""
         self.datagrams.start(self.address, self.port)
         self.documents.start(self.address, self.port + 1)
-        loops = (self._tell_all, self.list.follow)
+        loops = (self._broadcast_loop, self.list.follow)
         self.loops = [gevent.spawn(loop) for loop in loops]
 
     def stop(self) -> None:
@@ -176,16 +176,16 @@
         """Tell a node that has no configuration yet that this one has."""
         holders = 1 + sum(other.version >= 0 for other in self.live())
         if self.context.random.random() < GREETINGS / holders:
-            self.tell([peer])
+            self.send_state([peer])
 
     def _take_listed(self, addresses: list[str]) -> None:
         """Take over which nodes the list names, and tell them of this one."""
         for address in addresses:
             known = address in self.known
             if self._add(address) is not None and not known:
-                self.context.limits.expect(address, time.monotonic())
+                self.context.limits.add_peer(address, time.monotonic())
         self.context.set_nodes(len(self.known) + 1)
-        self.tell()
+        self.send_state()
 
     def _add(self, address: str) -> Peer | None:
         if address == self.address:
@@ -197,10 +197,10 @@
 
     # Telling
 
-    def _tell_all(self) -> None:
+    def _broadcast_loop(self) -> None:
         while True:
             nodes = len(self.known) + 1
-            gap = max(TELL_S, TELL_PER_NODE_S * nodes)
+            gap = max(BROADCAST_INTERVAL_S, BROADCAST_INTERVAL_PER_NODE_S * nodes)
             self._expect_tellings_each(gap)
             gap *= self.context.random.uniform(0.9, 1.1)
             steps = max(1, -(-(nodes - 1) // AT_ONCE))
@@ -217,7 +217,9 @@
         and leave half of every limit to them.
         """
         self.heard_s = max(HEARD_S, MISSED_TELLINGS * gap_s)
-        self.context.limits.silent_s = max(SILENT_S, MISSED_TELLINGS * gap_s)
+        self.context.limits.silence_timeout_s = max(
+            SILENCE_TIMEOUT_S, MISSED_TELLINGS * gap_s
+        )
 
     def _tell_in_steps(self, step_s: float) -> None:
         """Tell all others, a few each `step_s` seconds, or until there is urgent news.
@@ -227,7 +229,7 @@
         """
         peers = list(self.known.values())
         for first in range(0, max(1, len(peers)), AT_ONCE):
-            self.tell(peers[first : first + AT_ONCE])
+            self.send_state(peers[first : first + AT_ONCE])
             if self.urgent.wait(step_s):
                 return
 
@@ -240,28 +242,30 @@
         if self.is_reader() and not self.reads_alone():
             self.urgent.set()
 
-    def tell(self, peers: list[Peer] | None = None, *, gone: bool = False) -> None:
+    def send_state(
+        self, peers: list[Peer] | None = None, *, gone: bool = False
+    ) -> None:
         """Send this node's figures to `peers`, or to all others."""
         self.sequence += 1
         told = list(self.known.values()) if peers is None else peers
         self.datagrams.send(self._telling(gone), [peer.address for peer in told])
 
-    def _telling(self, gone: bool) -> "Telling":
+    def _telling(self, gone: bool) -> "StateMessage":
         context = self.context
-        for service, parts in context.placer.held_parts().items():
-            context.work.hold(service, parts)
+        for service, parts in context.placer.occupied_servers().items():
+            context.work.set_running(service, parts)
         now = time.monotonic()
         recent = context.placer.crashes.recent(now, limit=MOST_CRASHES)
-        return Telling(
+        return StateMessage(
             node=self.me,
             incarnation=context.incarnation,
             sequence=self.sequence,
             wall_ms=int(time.time() * 1000),
             version=context.version,
             gone=gone,
-            spent=context.limits.tell(),
-            work=context.work.tell(now),
-            windows=context.meter.tell(),
+            spent=context.limits.own_totals(),
+            work=context.work.update(now),
+            windows=context.meter.own_totals(),
             crashes=[
                 (crash.fingerprint, crash.server, now - crash.at) for crash in recent
             ],
@@ -269,9 +273,9 @@
             reported=context.reported,
             news=self.servers.news() if self.servers and self.is_reader() else None,
             duty_end=self.duty_end,
-            failing=context.placer.suspicions.tell(now),
+            failing=context.placer.ejection.own_counts(now),
             age_s=now - context.started_at,
-            starting=context.placer.tell_backlogs(),
+            starting=context.placer.own_backlogs(),
             proof_age_s=self.configuration.proof_age_s() if self.configuration else -1,
         )
 
@@ -287,12 +291,12 @@
                 "peers", live=live, before=self.logged_live, known=len(self.known)
             )
             self.logged_live = live
-        self.context.limits.forget_silent(now)
+        self.context.limits.remove_silent_peers(now)
         self.context.set_nodes(len(self.known) + 1)
 
     # Hearing
 
-    def hear(self, telling: "Telling", address: str) -> None:
+    def receive(self, telling: "StateMessage", address: str) -> None:
         """Take over what another node tells."""
         peer = self._add(address)
         if peer is None:
@@ -309,25 +313,25 @@
         context = self.context
         context.reported = max(context.reported, telling.reported)
         self.see_duty_end(telling.duty_end)
-        context.true_time.hear(address, telling.wall_ms / 1000)
-        spender = Spender(address, *age, telling.age_s)
-        context.limits.hear(spender, telling.spent, now)
-        context.meter.hear(address, telling.incarnation, telling.windows)
+        context.cluster_clock.receive(address, telling.wall_ms / 1000)
+        spender = SpendingOrigin(address, *age, telling.age_s)
+        context.limits.receive(spender, telling.spent, now)
+        context.meter.receive(address, telling.incarnation, telling.windows)
         for fingerprint, server, age_s in telling.crashes:
             context.placer.crashes.add(Crash(fingerprint, server, now - age_s))
-        context.placer.suspicions.hear(address, telling.failing, now)
-        context.placer.backlogs.hear(address, telling.starting, now)
+        context.placer.ejection.receive(address, telling.failing, now)
+        context.placer.backlogs.receive(address, telling.starting, now)
         if telling.version < 0 <= context.version:
             self._greet(peer)
         if telling.version > context.version:
             self.documents.pull(self.port + 1, alone=self.reads_alone())
         if telling.news is not None and self.servers is not None:
-            self.servers.hear(telling.news)
+            self.servers.receive(telling.news)
         if self.configuration is not None:
             self.configuration.hear_proof(telling.version, telling.proof_age_s)
         if telling.gone:
             log_event("peer_gone", peer=telling.node)
-            context.limits.leave(address)
+            context.limits.remove_peer(address)
             self.known.pop(address, None)
 
     def see_duty_end(self, end: int) -> None:
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -5,9 +5,10 @@
 from collections import Counter
 from collections.abc import Callable
 
-from endive_core.backlogs import Backlogs, told_tokens
+from endive_core.backlogs import Backlogs, largest_backlogs
 from endive_core.calls import Call, Retry, Ticket
 from endive_core.crashes import CrashTable
+from endive_core.ejection import ClusterEjection
 from endive_core.exceptions import EndiveError, ErrorKind, RetryReason
 from endive_core.messages import ServerView
 from endive_core.policy import Policy
@@ -15,14 +16,13 @@
 from endive_core.routing import RoutingTable, Service
 from endive_core.scheduler import Scheduler
 from endive_core.service_types import ServiceType
-from endive_core.suspicions import Suspicions
 from endive_node.logs import log_event
 from endive_node.waiters import Waiters, crash_name, refusal_error
 
 from endive_gateway.interfaces import ServerEntry
 from endive_gateway.servers import ServerRegistry
 
-INTERLEAVED = 1.46
+INTERLEAVING_FACTOR = 1.46
 """Time by which a prompt's token delays its first token, as a multiple of the server's
 own time for it: the server takes turns with other requests' tokens. Measured 25.8 by
 17.7, 13.3 by 9.1 and 15.8 by 10.9 microseconds on three kinds of engines."""
@@ -73,7 +73,7 @@
         self.services: dict[str, Service] = {}
         self.views: dict[str, ServerView] = {}
         self.in_a_row: Counter[str] = Counter()
-        self.suspicions = Suspicions()
+        self.ejection = ClusterEjection()
         self.backlogs = Backlogs()
         self.is_listening = is_listening
         self.wall_time = time.time
@@ -108,7 +108,7 @@
                     prefill=PrefillRate() if service.engine else None,
                 )
                 scheduler.set_nodes(self.nodes)
-                scheduler.outliers.suspicions = self.suspicions
+                scheduler.outliers.ejection = self.ejection
                 if service.engine:
                     scheduler.placement.backlogs = self.backlogs
             usable = [s.entry for s in self.registry.of_service(name) if s.usable]
@@ -133,30 +133,30 @@
         view.reclaimable = entry.reclaimable
         return view
 
-    def held_parts(self) -> dict[str, float]:
+    def occupied_servers(self) -> dict[str, float]:
         """Return by service how many servers' slots this node's requests hold."""
         parts = {}
         for name, scheduler in self.schedulers.items():
             servers = scheduler.servers
             slots = servers.slots_total / max(1, len(servers.servers))
-            parts[name] = servers.own_total / slots if slots else 0.0
+            parts[name] = servers.own_in_flight / slots if slots else 0.0
         return parts
 
-    def tell_backlogs(self) -> dict[str, float]:
+    def own_backlogs(self) -> dict[str, float]:
         """Return the prompt tokens by server that this node waits for."""
         tokens = {}
         for scheduler in self.schedulers.values():
             if scheduler.prefill is not None:
                 for server in scheduler.servers.servers.values():
                     tokens[server.id] = server.starting_tokens
-        return told_tokens(tokens)
+        return largest_backlogs(tokens)
 
     def server_s(self, service: str, tokens: float) -> float:
         """Return a server's time for `tokens` of a prompt, seconds."""
         scheduler = self.schedulers.get(service)
         if scheduler is None or scheduler.prefill is None:
             return 0.0
-        return tokens * scheduler.prefill.token_s / INTERLEAVED
+        return tokens * scheduler.prefill.seconds_per_token / INTERLEAVING_FACTOR
 
     # One request's way
 
@@ -207,14 +207,14 @@
         """Count a failed attempt after which there is no further one."""
         scheduler = self.owners[ticket]
         reason = self._weighed(ticket, reason, started=started)
-        scheduler.blame(ticket, self.now(), reason, started=started)
+        scheduler.count_failure(ticket, self.now(), reason, started=started)
 
     def _weighed(
         self, ticket: Ticket, reason: RetryReason, *, started: bool
     ) -> RetryReason:
         """Return the reason that counts: one lost answer says little of a server."""
         if started and reason in (RetryReason.SERVER_FAILED, RetryReason.SERVER_SLOW):
-            self.suspicions.failed(ticket.server, self.now())
+            self.ejection.failed(ticket.server, self.now())
         if reason is not RetryReason.SERVER_FAILED:
             return reason
         self.in_a_row[ticket.server] += 1
@@ -236,7 +236,7 @@
             return
         log_event("server_crashed", server=view.id, request=ticket.call.request_id)
         name = crash_name(view.id, self.wall_time())
-        self.owners[ticket].failures.suspect(ticket, name, self.now())
+        self.owners[ticket].failures.attribute_crash(ticket, name, self.now())
 
 
 def _type(service: Service) -> ServiceType:
--- a/packages/endive_gateway/src/endive_gateway/prompts.py
+++ b/packages/endive_gateway/src/endive_gateway/prompts.py
@@ -27,7 +27,7 @@
     tokens: float
 
 
-class PromptNotes:
+class PromptAnnouncer:
     """Tells of this node's long prompts, and hears of others'.
 
     Parameters
@@ -46,10 +46,10 @@
         self.others = others
         self.now = now
         self.datagrams = DatagramPort(
-            "prompts", msgspec.msgpack.Decoder(Prompt), self.hear
+            "prompts", msgspec.msgpack.Decoder(Prompt), self.receive
         )
 
-    def sent(self, server: str, tokens: float, server_s: float) -> None:
+    def announce(self, server: str, tokens: float, server_s: float) -> None:
         """Note that this node has sent a prompt.
 
         Parameters
@@ -60,6 +60,6 @@
         if server_s >= NOTED_S:
             self.datagrams.send(Prompt(server, tokens), self.others())
 
-    def hear(self, prompt: Prompt, address: str) -> None:
+    def receive(self, prompt: Prompt, address: str) -> None:
         """Count another node's prompt."""
         self.backlogs.add(address, prompt.server, prompt.tokens, self.now())
--- a/packages/endive_gateway/src/endive_gateway/servers.py
+++ b/packages/endive_gateway/src/endive_gateway/servers.py
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self.servers: dict[str, KnownServer] = {}
         self.listeners: list[Callable[[], None]] = []
-        self.known_once = False
+        self.is_loaded = False
 
     def get(self, server_id: str) -> KnownServer | None:
         """Return what is known of a server."""
@@ -126,15 +126,15 @@
             log_event("server_gone", server=server_id, after="grace")
         return bool(over)
 
-    def contradict(self, server_id: str) -> None:
+    def mark_misidentified(self, server_id: str) -> None:
         """Use a server no more until it registers anew: another has its address."""
         known = self.servers.get(server_id)
         if known is not None and not known.contradicted:
             known.contradicted = True
             log_event("server_contradicted", server=server_id)
-            self.changed()
+            self.notify_listeners()
 
-    def changed(self) -> None:
+    def notify_listeners(self) -> None:
         """Tell the listeners."""
         for listener in self.listeners:
             listener()
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -1,7 +1,7 @@
 """What an organisation spends, told at once to the node that adds it up.
 
 It goes by UDP at a port of its own, beside the tellings: a request must not wait for
-them, nor they for it. :mod:`endive_core.counting` decides who adds up and when the
+them, nor they for it. :mod:`endive_core.limit_coordination` decides who adds up and when the
 others are told; what is lost here, the tellings make good for.
 """
 
@@ -11,18 +11,18 @@
 
 import gevent
 import msgspec
-from endive_core.counting import (
-    ASK_AGAIN_S,
-    ASK_S,
-    ASKING_NODES,
-    MOST_ASKED,
-    UNASKED_S,
-    SpendingCount,
-    counting_node,
-    may_spend_unasked,
+from endive_core.limit_coordination import (
+    COORDINATOR_BACKOFF_S,
+    GRANT_RETRY_AFTER_S,
+    GRANT_TIMEOUT_S,
+    MAX_GRANT_ATTEMPTS,
+    MAX_NODES_WITHOUT_GRANTS,
+    UnsentSpending,
+    coordinator_for,
+    may_spend_without_grant,
 )
-from endive_core.routing import OrganisationTerms
-from endive_core.sharing import Spender
+from endive_core.routing import OrganisationLimits
+from endive_core.shared_limits import SpendingOrigin
 from endive_node.logs import log_event
 from gevent.event import AsyncResult
 
@@ -54,9 +54,9 @@
     units: float
 
     @property
-    def spender(self) -> Spender:
+    def spender(self) -> SpendingOrigin:
         """The node as the limits know it."""
-        return Spender(self.address, self.incarnation, self.tellings, self.age_s)
+        return SpendingOrigin(self.address, self.incarnation, self.tellings, self.age_s)
 
 
 class Notes(msgspec.Struct, array_like=True, tag="notes"):
@@ -108,8 +108,8 @@
         self.context = context
         self.others = others
         self.tellings = tellings
-        self.address = context.settings.place.address
-        self.count = SpendingCount()
+        self.address = context.settings.location.address
+        self.count = UnsentSpending()
         self.counting: dict[str, tuple[list[str], str]] = {}
         self.asked = 0
         self.asked_units: Counter[str] = Counter()
@@ -126,14 +126,14 @@
         """Stop receiving and close the port."""
         self.datagrams.stop()
 
-    def take(self, terms: OrganisationTerms, units: float) -> float:
+    def take(self, terms: OrganisationLimits, units: float) -> float:
         """Return 0 and spend `units` if a request may come, else the seconds to wait.
 
-        See :meth:`endive_core.sharing.SharedLimits.wait_s`. Among many nodes, what is
+        See :meth:`endive_core.shared_limits.SharedLimits.wait_s`. Among many nodes, what is
         more than this node's part of the rest is asked for.
         """
         limits = self.context.limits
-        for _ in range(MOST_ASKED):
+        for _ in range(MAX_GRANT_ATTEMPTS):
             now = time.monotonic()
             left, _ = limits.left(terms.name, now, rate=terms.rate, burst=terms.burst)
             counting = self._counting_node(terms.name)
@@ -142,15 +142,15 @@
             wait_s = self._ask(counting, terms.name, units)
             if wait_s is not None:
                 return wait_s
-        return ASK_AGAIN_S
+        return GRANT_RETRY_AFTER_S
 
     def _must_ask(self, units: float, left: float) -> bool:
         nodes = len(self.context.limits.peers) + 1
-        if nodes <= ASKING_NODES or left <= 0:
+        if nodes <= MAX_NODES_WITHOUT_GRANTS or left <= 0:
             return False
-        return not may_spend_unasked(units, left=left, nodes=nodes)
+        return not may_spend_without_grant(units, left=left, nodes=nodes)
 
-    def _take_alone(self, terms: OrganisationTerms, units: float, now: float) -> float:
+    def _take_alone(self, terms: OrganisationLimits, units: float, now: float) -> float:
         wait_s = self.context.limits.wait_s(
             terms.name, units, now, rate=terms.rate, burst=terms.burst
         )
@@ -172,7 +172,7 @@
         try:
             total = self._own(organisation, self.asked_units[organisation])
             self._send(Ask(number, total), [counting])
-            wait_s = answer.get(timeout=ASK_S)
+            wait_s = answer.get(timeout=GRANT_TIMEOUT_S)
         except gevent.Timeout:
             self._pass_over(counting)
             log_event("limit_not_answered", peer=counting, organisation=organisation)
@@ -188,7 +188,7 @@
         """Let another node add up for a while."""
         now = time.monotonic()
         self.unasked_until = {n: t for n, t in self.unasked_until.items() if t > now}
-        self.unasked_until[counting] = now + UNASKED_S
+        self.unasked_until[counting] = now + COORDINATOR_BACKOFF_S
 
     def answer(self, ask: Ask) -> None:
         """Let another node spend, or say when it may."""
@@ -220,14 +220,16 @@
         else:
             self._send(Notes([self._own(organisation)]), [counting])
 
-    def hear(self, entries: list[Spending]) -> None:
+    def receive(self, entries: list[Spending]) -> None:
         """Take over what another node notes."""
         limits = self.context.limits
         now = time.monotonic()
         for entry in entries:
             if entry.address == self.address:
                 continue
-            new = limits.note(entry.spender, entry.organisation, entry.units, now)
+            new = limits.apply_update(
+                entry.spender, entry.organisation, entry.units, now
+            )
             counting = self._counting_node(entry.organisation)
             if new > 0 and counting == self.address:
                 self._add(entry.organisation, entry.address, new)
@@ -239,7 +241,7 @@
         nodes = [self.address, *asked]
         known, counting = self.counting.get(organisation, (None, ""))
         if known != nodes:
-            counting = counting_node(organisation, nodes)
+            counting = coordinator_for(organisation, nodes)
             self.counting[organisation] = nodes, counting
         return counting
 
@@ -264,14 +266,14 @@
         if address == self.address:
             return self._own(organisation)
         peer = self.context.limits.peers.get(address)
-        if peer is None or organisation not in peer.noted:
+        if peer is None or organisation not in peer.last_updates:
             return None
-        tellings, units = peer.noted[organisation]
-        age_s = time.monotonic() - peer.born_at
+        tellings, units = peer.last_updates[organisation]
+        age_s = time.monotonic() - peer.started_at
         return Spending(address, peer.incarnation, tellings, age_s, organisation, units)
 
     def _own(self, organisation: str, asked: float = 0.0) -> Spending:
-        units = self.context.limits.tell().get(organisation, 0.0) + asked
+        units = self.context.limits.own_totals().get(organisation, 0.0) + asked
         return Spending(
             self.address,
             self.context.incarnation,
@@ -288,7 +290,7 @@
         """Take over what another node sent."""
         match message:
             case Notes(entries):
-                self.hear(entries)
+                self.receive(entries)
             case Ask():
                 self.answer(message)
             case Grant(number, wait_s):
--- a/packages/endive_gateway/src/endive_gateway/tellings.py
+++ b/packages/endive_gateway/src/endive_gateway/state_messages.py
@@ -9,7 +9,7 @@
 from endive_gateway.interfaces import Record, ServerNews
 
 
-class Telling(msgspec.Struct, array_like=True):
+class StateMessage(msgspec.Struct, array_like=True):
     """What a node tells the others, whole figures and no changes.
 
     Attributes
@@ -68,7 +68,7 @@
     proof_age_s: float = -1.0
 
 
-DECODER = msgspec.msgpack.Decoder(Telling)
+DECODER = msgspec.msgpack.Decoder(StateMessage)
 
 CHANGES = msgspec.msgpack.Decoder(list[tuple[int, str, bytes | None]])
 MOST_CHANGES_BYTES = 1_000_000
--- a/packages/endive_gateway/src/endive_gateway/working.py
+++ b/packages/endive_gateway/src/endive_gateway/workload.py
@@ -8,7 +8,7 @@
 tellings, and single requests must not."""
 
 
-class WorkMeter:
+class WorkloadMeter:
     """The work by service, in servers that this node keeps busy.
 
     A prompt to compute takes a server's whole time for a while; a running request takes
@@ -19,18 +19,18 @@
         self.prompts_s: dict[str, float] = {}
         self.rates: dict[str, float] = {}
         self.running: dict[str, float] = {}
-        self.told: dict[str, float] = {}
+        self.smoothed: dict[str, float] = {}
         self.told_at = time.monotonic()
 
     def sent(self, service: str, server_s: float) -> None:
         """Count a server's time for the prompt of a request sent to it, seconds."""
         self.prompts_s[service] = self.prompts_s.get(service, 0.0) + server_s
 
-    def hold(self, service: str, slots: float) -> None:
+    def set_running(self, service: str, slots: float) -> None:
         """Take over the part of a server's slots that this node's requests hold."""
         self.running[service] = slots
 
-    def tell(self, now: float) -> dict[str, float]:
+    def update(self, now: float) -> dict[str, float]:
         """Return the smoothed work by service."""
         passed = max(1e-3, now - self.told_at)
         weight = 1 - math.exp(-passed / WORK_MEMORY_S)
@@ -40,5 +40,5 @@
             before = self.rates.get(service, 0.0)
             self.rates[service] = before + weight * (work - before)
         self.told_at = now
-        self.told = dict(self.rates)
-        return self.told
+        self.smoothed = dict(self.rates)
+        return self.smoothed
