--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -3,9 +3,9 @@
 import json
 
 import gevent
-from endive_core.clocks import TrueTime
+from endive_core.clocks import ClusterClock
 from endive_core.routing import (
-    OrganisationTerms,
+    OrganisationLimits,
     Route,
     RouteKind,
     RoutingTable,
@@ -20,12 +20,12 @@
 )
 from endive_gateway.forwarding import Forwarder
 from endive_gateway.interfaces import (
-    AnswerFacts,
     Bounds,
     GatewaySettings,
-    Place,
+    NodeLocation,
     PromptPart,
-    RequestFacts,
+    RequestMetadata,
+    ResponseMetadata,
     ServerEntry,
     header_value,
 )
@@ -42,44 +42,46 @@
     """Headers with names of the tests' own."""
 
     def decode_request(self, headers):
-        facts = RequestFacts(_text(headers, b"id"))
-        if not facts.id:
+        metadata = RequestMetadata(_text(headers, b"id"))
+        if not metadata.id:
             raise BadHeaderError("Id is missing")
         budget = _text(headers, b"wait-ms")
-        facts.budget_s = float(budget) / 1000 if budget else None
-        facts.key = _text(headers, b"key")
-        facts.last_event = _text(headers, b"after")
+        metadata.budget_s = float(budget) / 1000 if budget else None
+        metadata.key = _text(headers, b"key")
+        metadata.last_event_id = _text(headers, b"after")
         tokens = _text(headers, b"tokens")
         if tokens:
-            facts.prompt_tokens, facts.max_tokens = map(int, tokens.split(","))
+            metadata.prompt_tokens, metadata.max_tokens = map(int, tokens.split(","))
         parts = _text(headers, b"parts")
         if parts:
-            facts.parts = tuple(PromptPart(int(part), 100) for part in parts.split(","))
-        return facts
+            metadata.parts = tuple(
+                PromptPart(int(part), 100) for part in parts.split(",")
+            )
+        return metadata
 
-    def encode_request(self, headers, facts, sending):
+    def encode_request(self, headers, metadata, forwarding):
         ours = (b"wait-ms", b"key", b"after", b"meant", b"organisation")
         sent = [(n, v) for n, v in headers if n.lower() not in ours]
-        sent.append((b"Wait-Ms", b"%d" % (sending.left_s * 1000)))
-        sent.append((b"Meant", sending.server_id.encode()))
-        sent.append((b"Organisation", sending.organisation.encode()))
-        sent.append((b"Urgency", b"%d" % sending.urgency))
-        if sending.last_event:
-            sent.append((b"After", sending.last_event.encode()))
+        sent.append((b"Wait-Ms", b"%d" % (forwarding.left_s * 1000)))
+        sent.append((b"Meant", forwarding.server_id.encode()))
+        sent.append((b"Organisation", forwarding.organisation.encode()))
+        sent.append((b"Urgency", b"%d" % forwarding.server_priority))
+        if forwarding.last_event_id:
+            sent.append((b"After", forwarding.last_event_id.encode()))
         return sent
 
-    def kept(self):
+    def end_to_end_headers(self):
         return frozenset({b"id"})
 
-    def decode_answer(self, headers):
-        return AnswerFacts(
+    def decode_response(self, headers):
+        return ResponseMetadata(
             request_id=_text(headers, b"id"),
-            sealed=bool(header_value(headers, b"signed")),
+            signed=bool(header_value(headers, b"signed")),
             not_run=bool(header_value(headers, b"refused")),
         )
 
-    def own_answer(self, facts):
-        return [(b"Id", facts.id.encode())] if facts.id else []
+    def own_response_headers(self, metadata):
+        return [(b"Id", metadata.id.encode())] if metadata.id else []
 
     def decode_configuration(self, value):
         try:
@@ -130,7 +132,7 @@
     """Return a table with one route that needs the key ``k`` of ``o``."""
     return make_table(
         make_route(public=False, **options),
-        organisations={"o": OrganisationTerms("o")},
+        organisations={"o": OrganisationLimits("o")},
         keys={"k": "o"},
     )
 
@@ -138,7 +140,7 @@
 def make_context(table=None, *, store=None, cloud=None, node="n1", bounds=None):
     """Return a context without any loop running."""
     settings = GatewaySettings(
-        place=Place(node, "127.0.0.1", "z", 0, 0, 0, zones=("z",)),
+        location=NodeLocation(node, "127.0.0.1", "z", 0, 0, 0, zones=("z",)),
         bounds=bounds or Bounds(),
         duties=frozenset({"usage", "scale"}),
     )
@@ -156,7 +158,7 @@
     return ServerEntry(server_id, **(values | options))
 
 
-class Running:
+class RunningGateway:
     """A gateway's path with scripted servers behind it."""
 
     def __init__(self, *servers, table=None):
@@ -164,8 +166,8 @@
         self.context = make_context(table or make_table())
         for server in servers:
             self.context.registry.put(make_entry(server.id, address=server.address))
-        self.context.registry.known_once = True
-        self.context.registry.changed()
+        self.context.registry.is_loaded = True
+        self.context.registry.notify_listeners()
         self.listener = CallerListener(
             listen_tcp("127.0.0.1", 0),
             Forwarder(self.context),
@@ -295,21 +297,21 @@
     """Return a gateway before two servers of which the first asked follows `first`."""
     script = [first, second]
 
-    def next_entry(sock, seen):
-        return (script.pop(0) if script else ok)(sock, seen)
+    def next_entry(sock, received):
+        return (script.pop(0) if script else ok)(sock, received)
 
     servers = [
         ScriptedServer(next_entry, next_entry, server_id=name)
         for name in ("i-1", "i-2")
     ]
-    return Running(*servers, table=make_table(make_route(**route)))
+    return RunningGateway(*servers, table=make_table(make_route(**route)))
 
 
 def arrivals(running):
     """Return how many requests reached the servers of a running gateway."""
-    return sum(len(server.seen) for server in running.servers)
+    return sum(len(server.received) for server in running.servers)
 
 
-def fixed_time(context, wall):
+def freeze_time(context, wall):
     """Let the context's true time stand at `wall`."""
-    context.true_time = TrueTime(lambda: 0.0, lambda: wall)
+    context.cluster_clock = ClusterClock(lambda: 0.0, lambda: wall)
--- a/packages/endive_gateway/tests/server_builders.py
+++ b/packages/endive_gateway/tests/server_builders.py
@@ -28,7 +28,7 @@
     def __init__(self, *script, server_id="i-1"):
         self.id = server_id
         self.script = list(script)
-        self.seen = []
+        self.received = []
         self.connections = 0
         self.closed = []
         self.server = StreamServer(listen_tcp("127.0.0.1", 0), self._serve)
@@ -52,10 +52,10 @@
                         self.closed.append(time.monotonic())
                         return
                     parser.feed(data)
-                seen = Seen(parser.messages.popleft())
-                self.seen.append(seen)
+                received = Seen(parser.messages.popleft())
+                self.received.append(received)
                 entry = self.script.pop(0) if self.script else ok
-                if entry(sock, seen) is False:
+                if entry(sock, received) is False:
                     return
         except OSError:
             self.closed.append(time.monotonic())
@@ -66,16 +66,16 @@
 def answer(status=200, body=b"fine", *, signed=True, extra="", request_id=None):
     """Return a script entry that answers with a length."""
 
-    def send(sock, seen):
-        sock.sendall(encoded(seen, status, body, signed, extra, request_id))
+    def send(sock, received):
+        sock.sendall(encoded(received, status, body, signed, extra, request_id))
 
     return send
 
 
-def encoded(seen, status=200, body=b"fine", signed=True, extra="", request_id=None):
+def encoded(received, status=200, body=b"fine", signed=True, extra="", request_id=None):
     """Return the bytes of an answer."""
     signature = "Signed: yes\r\n" if signed else ""
-    request_id = request_id or seen.headers["id"]
+    request_id = request_id or received.headers["id"]
     head = (
         f"HTTP/1.1 {status} X\r\nId: {request_id}\r\n{signature}{extra}"
         f"Content-Length: {len(body)}\r\n\r\n"
@@ -84,12 +84,12 @@
 
 
 ok = answer()
-full = answer(503, b"full", extra="Refused: 1\r\n")
-elsewhere = answer(421, b"", extra="Refused: 1\r\n")
+at_capacity = answer(503, b"full", extra="Refused: 1\r\n")
+misdirected = answer(421, b"", extra="Refused: 1\r\n")
 failing = answer(500, b"failed")
 
 
-def reset(sock, _seen):
+def close_connection(sock, _seen):
     """Close without a word, as a crash does."""
     sock.close()
     return False
@@ -98,8 +98,8 @@
 def raw(data, *, close=False):
     """Return a script entry that sends bytes as they are; ``%ID`` is the request's."""
 
-    def send(sock, seen):
-        sock.sendall(data.replace(b"%ID", seen.headers["id"].encode()))
+    def send(sock, received):
+        sock.sendall(data.replace(b"%ID", received.headers["id"].encode()))
         return False if close else None
 
     return send
@@ -108,9 +108,9 @@
 def events(first, last, *, cut=b"", end=True, gap_s=0.0):
     """Return a script entry that streams events with ids from `first` to `last`."""
 
-    def send(sock, seen):
+    def send(sock, received):
         head = (
-            f"HTTP/1.1 200 OK\r\nId: {seen.headers['id']}\r\nSigned: yes\r\n"
+            f"HTTP/1.1 200 OK\r\nId: {received.headers['id']}\r\nSigned: yes\r\n"
             "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
         )
         sock.sendall(head.encode())
@@ -137,6 +137,6 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def silent(_sock, _seen):
+def unresponsive(_sock, _seen):
     """Never answer."""
     gevent.sleep(30)
--- a/packages/endive_gateway/tests/store_builders.py
+++ b/packages/endive_gateway/tests/store_builders.py
@@ -4,12 +4,12 @@
 from collections import defaultdict
 
 from endive_gateway.exceptions import (
-    CloudEmptyError,
+    CloudCapacityError,
     CloudError,
     StoreConflictError,
     StoreError,
-    StoreForgottenError,
-    StoreUncertainError,
+    StoreOffsetOutOfRangeError,
+    StoreOutcomeUnknownError,
 )
 from endive_gateway.interfaces import Page, Record
 
@@ -49,7 +49,7 @@
         self._begin("read")
         first = self.kept_from[topic]
         if start < first:
-            raise StoreForgottenError(first)
+            raise StoreOffsetOutOfRangeError(first)
         records = self.topics[topic]
         return Page(first, len(records), records[start:])
 
@@ -61,7 +61,7 @@
         self.topics[topic].append(Record(offset, "", value))
         if self.lost:
             self.lost.pop()
-            raise StoreUncertainError("the answer was lost")
+            raise StoreOutcomeUnknownError("the answer was lost")
         return offset
 
     def put(self, topic, key, value):
@@ -120,5 +120,5 @@
         if self.down:
             raise CloudError("down")
         if order.reclaimable and order.zone in self.empty:
-            raise CloudEmptyError("none")
+            raise CloudCapacityError("none")
         self.orders.append((holder, fence, order))
--- a/packages/endive_gateway/tests/test_ordering.py
+++ b/packages/endive_gateway/tests/test_autoscaling.py
@@ -1,8 +1,8 @@
 import pytest
 from endive_core.leases import Lease
 from endive_core.routing import Scaling, Service
+from endive_gateway.autoscaling import LOWER_AFTER_S, SETTLED_S, STARTED_S, Ordering
 from endive_gateway.interfaces import ServerState
-from endive_gateway.ordering import LOWER_AFTER_S, SETTLED_S, STARTED_S, Ordering
 from endive_gateway.peers import Peers
 from gateway_builders import make_context, make_entry, make_table
 from store_builders import RecordingCloud
@@ -18,7 +18,7 @@
         table = make_table()
         table.services["s"] = Service("s", scaling=SCALING)
         self.context = make_context(table, cloud=self.cloud)
-        self.context.registry.known_once = True
+        self.context.registry.is_loaded = True
         self.ordering = Ordering(self.context, Peers(self.context))
         self.now = 1000.0
         self.ordering.clock = lambda: self.now
@@ -50,7 +50,7 @@
         before = len(self.cloud.orders)
         end = self.now + seconds
         while self.now < end:
-            self.context.work.told = {"s": work}
+            self.context.work.smoothed = {"s": work}
             self.ordering.measure(self.now)
             self.ordering.step("n1", self.lease, self.now)
             self.now += 0.25
@@ -98,7 +98,7 @@
 
 
 def test_nothing_is_ordered_before_any_server_is_known(fleet):
-    fleet.context.registry.known_once = False
+    fleet.context.registry.is_loaded = False
     assert not fleet.play(2.0, work=0.0)
 
 
--- a/packages/endive_gateway/tests/test_callers.py
+++ b/packages/endive_gateway/tests/test_callers.py
@@ -6,7 +6,7 @@
     CallerLimits,
 )
 from gateway_builders import (
-    Running,
+    RunningGateway,
     arrivals,
     make_table,
 )
@@ -32,7 +32,7 @@
 )
 def test_a_bad_request_gets_a_clear_answer(data, status):
     table = limited(max_header_bytes=1000, max_body_bytes=1000, header_timeout_s=0.2)
-    with Running(ScriptedServer(), table=table) as running:
+    with RunningGateway(ScriptedServer(), table=table) as running:
         caller = running.caller()
         caller.raw(data)
         got = caller.receive()
@@ -42,7 +42,7 @@
 
 
 def test_a_caller_that_expects_to_be_asked_is_asked():
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         caller = running.caller()
         caller.raw(
             b"POST /x HTTP/1.1\r\nHost: a.example\r\nId: q\r\nContent-Length: 2\r\n"
@@ -51,11 +51,11 @@
         assert caller.receive().status == 100
         caller.raw(b"ab")
         assert caller.receive().status == 200
-        assert "expect" not in running.servers[0].seen[0].headers
+        assert "expect" not in running.servers[0].received[0].headers
 
 
 def test_an_idle_connection_is_closed_only_after_its_time():
-    with Running(ScriptedServer(), table=limited(idle_timeout_s=0.3)) as running:
+    with RunningGateway(ScriptedServer(), table=limited(idle_timeout_s=0.3)) as running:
         caller = running.caller()
         caller.send()
         caller.receive()
@@ -70,7 +70,7 @@
 def test_a_stopping_node_says_so_and_closes_quiet_connections_only():
     """A node is stopped while a caller sends on a kept connection. A request that was
     read is answered; the connection closes after it and not before."""
-    with Running(ScriptedServer(answer(body=b"one"))) as running:
+    with RunningGateway(ScriptedServer(answer(body=b"one"))) as running:
         busy, idle = running.caller(), running.caller()
         running.listener.stopping = True
         busy.send()
@@ -87,7 +87,7 @@
 def test_a_request_that_just_came_survives_the_closing_of_idle_connections():
     """Idle connections are closed at the very moment at which a request comes on one.
     Ended by a kill, its greenlet would pass the request on and then drop it."""
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         caller = running.caller()
         gevent.sleep(0.05)
         caller.send()
--- a/packages/endive_gateway/tests/test_documents.py
+++ b/packages/endive_gateway/tests/test_configuration_exchange.py
@@ -3,7 +3,7 @@
 
 import gevent
 import pytest
-from endive_gateway.documents import (
+from endive_gateway.configuration_exchange import (
     SERVED_AT_ONCE,
     DocumentExchange,
     receive_document,
--- a/packages/endive_gateway/tests/test_duties.py
+++ b/packages/endive_gateway/tests/test_duties.py
@@ -3,12 +3,12 @@
 import pytest
 from endive_gateway import duties as duties_module
 from endive_gateway import peers as peers_module
+from endive_gateway.autoscaling import Ordering
 from endive_gateway.duties import LEASE_S, MARGIN_S, RANK_S, Duties
-from endive_gateway.exceptions import StoreError, StoreUncertainError
+from endive_gateway.exceptions import StoreError, StoreOutcomeUnknownError
 from endive_gateway.interfaces import Topic
-from endive_gateway.ordering import Ordering
 from endive_gateway.peers import Peers
-from gateway_builders import fixed_time, make_context, make_table
+from gateway_builders import freeze_time, make_context, make_table
 from store_builders import MemoryStore, RecordingCloud, store_down
 
 WALL = 1_000_000.0
@@ -47,7 +47,7 @@
         self.at(WALL)
 
     def at(self, wall):
-        fixed_time(self.context, wall)
+        freeze_time(self.context, wall)
 
     def step(self):
         try:
@@ -170,7 +170,7 @@
 def test_a_claim_that_was_never_done_holds_nothing(clock, store, cloud):
     def uncertain(name):
         if name == "append":
-            raise StoreUncertainError("no answer")
+            raise StoreOutcomeUnknownError("no answer")
 
     store.fault = uncertain
     node = Node("a", store, cloud)
@@ -195,7 +195,7 @@
     node = Node("a", store, cloud)
     window = int(WALL // WINDOW_S)
     begin(node, window, 3)
-    node.context.meter.hear("b", 1, {window: {"o": 2, "p": 1}})
+    node.context.meter.receive("b", 1, {window: {"o": 2, "p": 1}})
     node.step()
     node.at(WALL + WINDOW_S + 2)
     for _ in range(4):
--- a/packages/endive_gateway/tests/test_following.py
+++ b/packages/endive_gateway/tests/test_following.py
@@ -85,12 +85,12 @@
 
 def test_a_node_that_is_told_need_not_read(store):
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     calls = len(store.calls)
     write(store, Topic.SERVERS, "i-2", server(sequence=1))
     write(store, Topic.SERVERS, "i-1", server(sequence=2, state="leaving"))
     reader.step()
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     listener.step()
     assert len(store.calls) == calls + 1
     assert listener.context.registry.get("i-2").usable
@@ -101,14 +101,14 @@
     """A node missed several tellings in a row. Taking the next ones as they are, it
     would never hear of the server that began to leave in between."""
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     write(store, Topic.SERVERS, "i-1", server(sequence=2, state="leaving"))
     reader.step()
     reader.changes.clear()
     reader.floor = reader.next
     reader.marks.clear()
     reader.marks.append((time.monotonic(), reader.next))
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     assert listener.context.registry.get("i-1").usable
     listener.relayed_at -= 10.0
     listener.step()
@@ -119,19 +119,19 @@
     """A zone is reclaimed, and more servers begin to leave than a telling has room for.
     A node that waited for news it can join sent them requests for 2.1 seconds."""
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     for number in range(30):
         write(store, Topic.SERVERS, f"i-{number + 10}", server(sequence=1))
     write(store, Topic.SERVERS, "i-1", server(sequence=2, state="leaving"))
     reader.step()
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     listener.step()
     assert not listener.context.registry.get("i-1").usable
 
 
 def test_a_node_reads_by_itself_when_its_readers_lose_the_store(store):
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     store.fault = store_down
     reader.step()
     assert reader.news() is None
@@ -162,12 +162,12 @@
     """Sixty servers start, more than a telling holds. Each node reads them once; were
     they missing from all tellings of the next seconds, each would read five times."""
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     add_servers(store, 60)
     reader.step()
     calls = len(store.calls)
     for _ in range(5):
-        listener.hear(reader.news())
+        listener.receive(reader.news())
         listener.step()
     assert len(store.calls) == calls + 1
     assert len(listener.context.registry.servers) == 61
@@ -178,12 +178,12 @@
     older moment. Were the tellings then to begin before the sixty, without them, a node
     would take itself to know all, and leave its callers to the few it has."""
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     add_servers(store, 60)
     reader.step()
     reader.news()
     reader.marks.appendleft((time.monotonic() - 2 * HISTORY_S, 1))
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     listener.step()
     assert len(listener.context.registry.servers) == 61
 
@@ -192,11 +192,11 @@
     """Fifteen servers are reclaimed at once. Each node is told of all of them, and need
     not read the store."""
     reader, listener = told(store)
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     add_servers(store, 15)
     reader.step()
     calls = len(store.calls)
-    listener.hear(reader.news())
+    listener.receive(reader.news())
     listener.step()
     assert len(store.calls) == calls
     assert len(listener.context.registry.servers) == 16
@@ -205,7 +205,7 @@
 @pytest.mark.parametrize("packed", [b"x", zlib.compress(b"x"), zlib.compress(b"")])
 def test_news_that_can_not_be_read_lead_to_an_own_read(store, packed):
     reader, listener = told(store)
-    listener.hear(ServerNews(0, 99, packed))
+    listener.receive(ServerNews(0, 99, packed))
     assert not listener.is_relayed()
     assert listener.next == reader.next
 
--- a/packages/endive_gateway/tests/test_forwarding.py
+++ b/packages/endive_gateway/tests/test_forwarding.py
@@ -3,13 +3,13 @@
 import gevent
 import pytest
 from endive_core.routing import (
-    OrganisationTerms,
+    OrganisationLimits,
     RouteKind,
 )
 from endive_gateway.interfaces import ServerState
 from gateway_builders import (
     HOST,
-    Running,
+    RunningGateway,
     arrivals,
     closed_table,
     make_entry,
@@ -20,14 +20,14 @@
 from server_builders import (
     ScriptedServer,
     answer,
-    elsewhere,
+    at_capacity,
+    close_connection,
     encoded,
     failing,
-    full,
+    misdirected,
     ok,
     raw,
-    reset,
-    silent,
+    unresponsive,
 )
 
 UNSAFE = {"kind": RouteKind.NON_IDEMPOTENT, "max_attempts": 1}
@@ -37,37 +37,37 @@
 
 def test_method_target_body_and_headers_arrive_unchanged():
     body = bytes(range(256)) * 300
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         got = running.call("/x/%2e%2e/y?q=a%20b&c", method="PATCH", body=body, X_A="ä")
-        seen = running.servers[0].seen[0]
+        received = running.servers[0].received[0]
     assert got.status == 200
     assert got.body == b"fine"
-    assert (seen.method, seen.target, seen.body) == (
+    assert (received.method, received.target, received.body) == (
         "PATCH",
         "/x/%2e%2e/y?q=a%20b&c",
         body,
     )
-    assert seen.headers["host"] == HOST
+    assert received.headers["host"] == HOST
 
 
 def test_a_chunked_body_arrives_with_a_length():
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         caller = running.caller()
         caller.raw(
             b"POST /x HTTP/1.1\r\nHost: a.example\r\nId: q\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         )
         assert caller.receive().status == 200
-        seen = running.servers[0].seen[0]
-    assert seen.body == b"abcde"
-    assert seen.headers["content-length"] == "5"
-    assert "transfer-encoding" not in seen.headers
+        received = running.servers[0].received[0]
+    assert received.body == b"abcde"
+    assert received.headers["content-length"] == "5"
+    assert "transfer-encoding" not in received.headers
 
 
 def test_a_smuggled_request_never_reaches_a_server():
     """A caller hides a second request in the body of a first one whose length is
     ambiguous. If a server ran it, it would run under somebody else's name."""
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         caller = running.caller()
         caller.raw(
             b"POST /x HTTP/1.1\r\nHost: a.example\r\nId: q\r\nContent-Length: 4\r\n"
@@ -80,14 +80,14 @@
 
 
 def test_what_a_caller_may_not_set_is_replaced():
-    with Running(ScriptedServer(), table=closed_table()) as running:
+    with RunningGateway(ScriptedServer(), table=closed_table()) as running:
         got = running.call(Key="k", Organisation="other", Meant="i-9", Wait_Ms="5000")
-        seen = running.servers[0].seen[0]
+        received = running.servers[0].received[0]
     assert got.status == 200
-    assert seen.headers["organisation"] == "o"
-    assert seen.headers["meant"] == "i-1"
-    assert int(seen.headers["wait-ms"]) <= 2000
-    assert "key" not in seen.headers
+    assert received.headers["organisation"] == "o"
+    assert received.headers["meant"] == "i-1"
+    assert int(received.headers["wait-ms"]) <= 2000
+    assert "key" not in received.headers
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
 )
 def test_what_the_configuration_does_not_allow_is_refused(options, status):
     table = closed_table(path_prefix="/x/")
-    with Running(ScriptedServer(), table=table) as running:
+    with RunningGateway(ScriptedServer(), table=table) as running:
         options = {"target": "/x/", **options}
         assert running.call(**options).status == status
         assert arrivals(running) == 0
@@ -105,7 +105,7 @@
 def test_without_a_configuration_nothing_is_denied_for_good():
     """A node has just started and the store is away. A 404 or 401 would tell callers
     that their request or key is wrong, and they would not come back."""
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         running.context.table = None
         got = running.call()
     assert got.status == 503
@@ -113,7 +113,7 @@
 
 
 def test_kept_connections_carry_one_request_after_another():
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         caller = running.caller()
         for _ in range(5):
             caller.send()
@@ -122,7 +122,7 @@
 
 
 def test_pipelined_requests_are_answered_in_order():
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         caller = running.caller()
         for number in range(3):
             caller.send(request_id=f"p{number}")
@@ -131,7 +131,12 @@
 
 
 def test_an_idempotent_request_goes_to_a_second_server_after_a_failure():
-    for first in (failing, reset, full, raw(b"junk\r\n\r\n", close=True)):
+    for first in (
+        failing,
+        close_connection,
+        at_capacity,
+        raw(b"junk\r\n\r\n", close=True),
+    ):
         with two(first) as running:
             assert running.call().status == 200
             assert arrivals(running) == 2
@@ -140,7 +145,7 @@
 def test_a_request_that_may_have_run_is_not_sent_again():
     """A server resets the connection after it got a booking. Sent to another server,
     the court would be booked twice; told "not run", the caller would do it."""
-    with two(reset, **UNSAFE | {"max_attempts": 3}) as running:
+    with two(close_connection, **UNSAFE | {"max_attempts": 3}) as running:
         got = running.call(method="POST", body=b"{}")
         assert arrivals(running) == 1
     assert got.status == 502
@@ -149,14 +154,14 @@
 
 
 def test_a_server_that_did_not_run_a_request_lets_another_run_it():
-    with two(full, **UNSAFE | {"max_attempts": 2}) as running:
+    with two(at_capacity, **UNSAFE | {"max_attempts": 2}) as running:
         assert running.call(method="POST", body=b"{}").status == 200
         assert arrivals(running) == 2
 
 
 def test_not_run_is_said_with_a_time_to_come_back():
-    with Running(
-        ScriptedServer(full), table=make_table(make_route(**UNSAFE))
+    with RunningGateway(
+        ScriptedServer(at_capacity), table=make_table(make_route(**UNSAFE))
     ) as running:
         got = running.call(method="POST", body=b"{}")
     assert got.status == 503
@@ -187,7 +192,7 @@
     servers = [ScriptedServer(server_id=f"i-{number}") for number in range(3)]
     servers[1].script = [failing] * 90
     got = []
-    with Running(*servers, table=make_table(make_route(**UNSAFE))) as running:
+    with RunningGateway(*servers, table=make_table(make_route(**UNSAFE))) as running:
         for _ in range(90):
             got.append(running.call(method="POST", body=b"{}").status)
             gevent.sleep(0.02)
@@ -198,7 +203,7 @@
 def test_a_server_at_anothers_address_is_not_asked_again():
     """A server ended and its address went to another one, which refuses what is not
     meant for it. Asked again and again, each request would lose a round trip."""
-    with two(elsewhere, **UNSAFE) as running:
+    with two(misdirected, **UNSAFE) as running:
         for _ in range(3):
             assert running.call(method="POST", body=b"{}").status == 200
         assert arrivals(running) == 4
@@ -225,7 +230,7 @@
     ],
 )
 def test_a_success_that_is_not_the_servers_whole_answer_never_passes(garbled):
-    with Running(
+    with RunningGateway(
         ScriptedServer(garbled), table=make_table(make_route(**UNSAFE, timeout_s=0.5))
     ) as running:
         got = running.call(method="POST", body=b"{}")
@@ -234,7 +239,7 @@
 
 def test_an_answer_that_ends_with_its_connection_is_whole():
     data = b"HTTP/1.1 200 OK\r\nId: %ID\r\nSigned: y\r\n\r\nabc"
-    with Running(ScriptedServer(raw(data, close=True))) as running:
+    with RunningGateway(ScriptedServer(raw(data, close=True))) as running:
         got = running.call()
     assert (got.status, got.body, got.whole) == (200, b"abc", True)
 
@@ -243,10 +248,10 @@
     """A server answers one request twice. The second answer comes where the next
     request's is due, and its caller would get a stranger's data."""
 
-    def twice(sock, seen):
-        sock.sendall(encoded(seen) + encoded(seen, body=b"again"))
+    def twice(sock, received):
+        sock.sendall(encoded(received) + encoded(received, body=b"again"))
 
-    with Running(ScriptedServer(twice, answer(body=b"second"))) as running:
+    with RunningGateway(ScriptedServer(twice, answer(body=b"second"))) as running:
         caller = running.caller()
         caller.send()
         assert caller.receive().body == b"fine"
@@ -255,12 +260,12 @@
 
 
 def test_an_extra_answer_after_the_next_request_went_out_is_skipped():
-    def late(sock, seen):
-        sock.sendall(encoded(seen, body=b"stale", request_id="q-before"))
+    def late(sock, received):
+        sock.sendall(encoded(received, body=b"stale", request_id="q-before"))
         gevent.sleep(0.02)
-        sock.sendall(encoded(seen, body=b"mine"))
+        sock.sendall(encoded(received, body=b"mine"))
 
-    with Running(ScriptedServer(late)) as running:
+    with RunningGateway(ScriptedServer(late)) as running:
         assert running.call().body == b"mine"
 
 
@@ -268,34 +273,34 @@
     """A server rejects a long request before it has read it, keeps the connection and
     reads on. The next request's head would be read as the rest of that body."""
 
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         server = running.servers[0]
 
-        def early(sock, seen):
-            sock.sendall(encoded(seen, 400, b"too long"))
+        def early(sock, received):
+            sock.sendall(encoded(received, 400, b"too long"))
 
         server.script.append(early)
         assert running.call(method="POST", body=b"x" * 1_000_000).status == 400
         assert running.call(method="POST", body=b"y").status == 200
-        assert [len(seen.body) for seen in server.seen] == [1_000_000, 1]
+        assert [len(received.body) for received in server.received] == [1_000_000, 1]
 
 
 def test_a_caller_that_leaves_ends_its_request_at_the_server():
     """Nobody waits for the answer any more; a server that works on holds a slot."""
-    with Running(ScriptedServer(silent)) as running:
+    with RunningGateway(ScriptedServer(unresponsive)) as running:
         caller = running.caller()
         caller.send()
         gevent.sleep(0.1)
         caller.close()
         gevent.sleep(0.1)
         (scheduler,) = running.context.placer.schedulers.values()
-        assert scheduler.servers.own_total == 0
+        assert scheduler.servers.own_in_flight == 0
         assert not running.context.placer.owners
         assert not running.context.pool.idle["i-1"]
 
 
 def test_the_routes_timeout_ends_a_request_with_a_true_answer():
-    with two(silent, timeout_s=0.3, **UNSAFE) as running:
+    with two(unresponsive, timeout_s=0.3, **UNSAFE) as running:
         started = time.monotonic()
         got = running.call(method="POST", body=b"{}")
     assert got.status == 504
@@ -304,10 +309,12 @@
 
 
 def test_servers_are_given_no_more_time_than_is_left():
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         running.call(Wait_Ms="500")
         running.call(Wait_Ms="50000")
-        left = [int(seen.headers["wait-ms"]) for seen in running.servers[0].seen]
+        left = [
+            int(received.headers["wait-ms"]) for received in running.servers[0].received
+        ]
     assert left[0] <= 500
     assert left[1] <= 2000
 
@@ -315,7 +322,7 @@
 def test_a_request_without_time_for_an_answer_reaches_no_server():
     """A caller waits for 60 ms longer where answers take a second. Sent for the sake of
     having been sent, the request would take a place at a server and end in nothing."""
-    with Running(ScriptedServer()) as running:
+    with RunningGateway(ScriptedServer()) as running:
         got = running.call(Wait_Ms="60")
         assert arrivals(running) == 0
     assert got.status == 503
@@ -326,9 +333,9 @@
     """The first server fails 0.25 s into the 0.3 s of its route. A second one could not
     answer any more, and the caller would lose the failure that is there."""
 
-    def late_failure(sock, seen):
+    def late_failure(sock, received):
         gevent.sleep(0.25)
-        return failing(sock, seen)
+        return failing(sock, received)
 
     with two(late_failure, timeout_s=0.3) as running:
         got = running.call()
@@ -337,18 +344,18 @@
 
 
 def test_a_limit_is_told_as_not_run_and_costs_no_server():
-    terms = OrganisationTerms("o", rate=1.0, burst=1.0)
+    terms = OrganisationLimits("o", rate=1.0, burst=1.0)
     table = make_table(
         make_route(public=False), organisations={"o": terms}, keys={"k": "o"}
     )
-    with Running(ScriptedServer(), table=table) as running:
+    with RunningGateway(ScriptedServer(), table=table) as running:
         got = [running.call(Key="k") for _ in range(3)]
         assert arrivals(running) == sum(answer.status == 200 for answer in got)
     assert got[-1].status == 429
     assert float(got[-1].headers["retry-after"]) > 0
 
 
-def crash(sock, seen):
+def crash(sock, received):
     """End the whole server, as a request does that crashes it."""
     sock.close()
     return False
@@ -357,12 +364,14 @@
 def test_a_request_that_crashes_servers_is_refused_from_the_second_crash_on():
     """One request crashes each server that runs it, and its caller sends it again. Sent
     on and on, it would take down the servers one by one with all streams on them."""
-    with Running(*(ScriptedServer(server_id=f"i-{n}") for n in range(4))) as running:
+    with RunningGateway(
+        *(ScriptedServer(server_id=f"i-{n}") for n in range(4))
+    ) as running:
         for server in running.servers:
 
-            def fall_over(sock, seen, server=server):
+            def fall_over(sock, received, server=server):
                 server.stop()
-                return crash(sock, seen)
+                return crash(sock, received)
 
             server.script.append(fall_over)
         first = running.call(method="POST", body=b"poison", request_id="p1")
@@ -375,7 +384,7 @@
 
 
 def test_no_server_is_told_at_once():
-    with Running(table=make_table()) as running:
+    with RunningGateway(table=make_table()) as running:
         started = time.monotonic()
         got = running.call()
     assert got.status == 503
@@ -393,8 +402,8 @@
                 sequence=5,
             )
         )
-        running.context.registry.changed()
+        running.context.registry.notify_listeners()
         for _ in range(2):
             running.servers[1].script.clear()
             assert running.call().status == 200
-        assert not leaving.seen
+        assert not leaving.received
--- a/packages/endive_gateway/tests/test_gateway.py
+++ b/packages/endive_gateway/tests/test_gateway.py
@@ -2,11 +2,11 @@
 
 import pytest
 from endive_gateway.gateway import Gateway
-from endive_gateway.interfaces import Bounds, GatewaySettings, Place
+from endive_gateway.interfaces import Bounds, GatewaySettings, NodeLocation
 from gateway_builders import Caller, PlainWire, make_table
 from store_builders import MemoryStore, RecordingCloud
 
-PLACE = Place("n1", "127.0.0.1", "z", 0, 0, 17_621)
+PLACE = NodeLocation("n1", "127.0.0.1", "z", 0, 0, 17_621)
 
 
 @pytest.fixture
@@ -27,13 +27,13 @@
     assert ask(gateway) == 503
     gateway.context.configure(make_table(), b"", "test")
     assert ask(gateway) == 503
-    gateway.context.registry.known_once = True
+    gateway.context.registry.is_loaded = True
     assert ask(gateway) == 200
 
 
 def test_a_stopping_node_is_not_ready_at_once(gateway):
     gateway.context.configure(make_table(), b"", "test")
-    gateway.context.registry.known_once = True
+    gateway.context.registry.is_loaded = True
     gateway.stopping_at = 1.0
     assert ask(gateway) == 503
 
@@ -43,5 +43,5 @@
     a signal. The node goes on; what it can't change without a new start it keeps."""
     moved = replace(PLACE, caller_port=9999)
     gateway.reload(GatewaySettings(moved, Bounds(grace_s=20)))
-    assert gateway.settings.place == PLACE
+    assert gateway.settings.location == PLACE
     assert gateway.context.settings.bounds.grace_s == 20
--- a/packages/endive_gateway/tests/test_metrics.py
+++ b/packages/endive_gateway/tests/test_metrics.py
@@ -1,5 +1,5 @@
 from endive_gateway.metrics import GatewayMetrics, Latencies, MetricsServer
-from gateway_builders import Caller, Running, make_route, make_table
+from gateway_builders import Caller, RunningGateway, make_route, make_table
 from server_builders import ScriptedServer, failing
 
 
@@ -13,7 +13,9 @@
 
 
 def test_each_outcome_and_retry_is_counted():
-    with Running(ScriptedServer(failing), ScriptedServer(server_id="i-2")) as running:
+    with RunningGateway(
+        ScriptedServer(failing), ScriptedServer(server_id="i-2")
+    ) as running:
         for _ in range(3):
             running.call()
         running.call(target="/none", Id="")
@@ -28,7 +30,7 @@
     metrics.outcomes["ok"] = 5
     metrics.retries["connect_failed"] = 2
     metrics.whole.add(0.03)
-    metrics.show("endive_store_answer_age_seconds", lambda: 2.5, topic="servers")
+    metrics.add_gauge("endive_store_answer_age_seconds", lambda: 2.5, topic="servers")
     server = MetricsServer("127.0.0.1", 0, metrics)
     server.start()
     try:
@@ -44,6 +46,6 @@
 
 
 def test_a_route_without_servers_counts_its_refusals():
-    with Running(table=make_table(make_route())) as running:
+    with RunningGateway(table=make_table(make_route())) as running:
         running.call()
         assert running.context.metrics.outcomes["no_server"] == 1
--- a/packages/endive_gateway/tests/test_peers.py
+++ b/packages/endive_gateway/tests/test_peers.py
@@ -6,11 +6,11 @@
 import pytest
 from endive_core.crashes import Crash
 from endive_gateway import peers as peers_module
-from endive_gateway.documents import unpacked
-from endive_gateway.exceptions import StoreUncertainError
+from endive_gateway.configuration_exchange import unpacked
+from endive_gateway.exceptions import StoreOutcomeUnknownError
 from endive_gateway.interfaces import Topic
 from endive_gateway.peers import Peers
-from endive_gateway.tellings import DECODER, Telling
+from endive_gateway.state_messages import DECODER, StateMessage
 from gateway_builders import make_context, make_table
 from store_builders import MemoryStore, store_down
 
@@ -30,7 +30,7 @@
         "fence": 0,
         "reported": 4,
     }
-    return Telling(**(values | options))
+    return StateMessage(**(values | options))
 
 
 @pytest.fixture
@@ -51,7 +51,7 @@
 
 
 def test_what_a_peer_tells_is_taken_over(peers):
-    peers.hear(telling(), "127.0.0.2")
+    peers.receive(telling(), "127.0.0.2")
     context = peers.context
     assert context.meter.total(7) == {"o": 3}
     assert context.reported == 4
@@ -60,25 +60,25 @@
 
 
 def test_a_telling_that_was_overtaken_is_dropped(peers):
-    peers.hear(telling(sequence=5, fence=3), "127.0.0.2")
-    peers.hear(telling(sequence=4, fence=0), "127.0.0.2")
+    peers.receive(telling(sequence=5, fence=3), "127.0.0.2")
+    peers.receive(telling(sequence=4, fence=0), "127.0.0.2")
     assert peers.known["127.0.0.2"].fence == 3
-    peers.hear(telling(incarnation=2, sequence=1, fence=0), "127.0.0.2")
+    peers.receive(telling(incarnation=2, sequence=1, fence=0), "127.0.0.2")
     assert peers.known["127.0.0.2"].fence == 0
 
 
 def test_a_peer_that_stopped_is_forgotten_at_once(peers):
-    peers.hear(telling(), "127.0.0.2")
-    peers.hear(telling(sequence=2, gone=True), "127.0.0.2")
+    peers.receive(telling(), "127.0.0.2")
+    peers.receive(telling(sequence=2, gone=True), "127.0.0.2")
     assert not peers.known
-    assert peers.context.limits.part(time.monotonic() + 5) == 1.0
+    assert peers.context.limits.reachable_share(time.monotonic() + 5) == 1.0
 
 
 def test_nodes_that_were_listed_are_believed_to_be_there_before_they_are_heard(peers):
     """Nodes start together, and one hears a third of the others at first. It must
     choose from the same nodes as they who adds up an organisation's spending."""
     peers._add("127.0.0.2")
-    peers.hear(telling(), "127.0.0.3")
+    peers.receive(telling(), "127.0.0.3")
     assert peers.believed() == ["127.0.0.2", "127.0.0.3"]
     peers.known["127.0.0.2"].known_at -= peers.heard_s
     assert peers.believed() == ["127.0.0.3"]
@@ -93,11 +93,11 @@
     """A server fails each request. One node of sixty sends it one in three seconds,
     and would go on; only all together can tell."""
     placer = peers.context.placer
-    placer.suspicions.failed("i-1", time.monotonic())
+    placer.ejection.failed("i-1", time.monotonic())
     assert peers._telling(gone=False).failing == {"i-1": 1}
-    peers.hear(telling(failing={"i-1": 9}), "127.0.0.2")
+    peers.receive(telling(failing={"i-1": 9}), "127.0.0.2")
     servers = [f"i-{number}" for number in range(8)]
-    assert placer.suspicions.suspects(servers, time.monotonic()) == {"i-1"}
+    assert placer.ejection.ejected(servers, time.monotonic()) == {"i-1"}
 
 
 def test_nodes_find_each_other_by_the_store():
@@ -105,7 +105,7 @@
     one, two = (Peers(make_context(make_table(), store=store, node=n)) for n in "ab")
     for peers, address in ((one, "127.0.0.2"), (two, "127.0.0.3")):
         peers.address = peers.list.address = address
-    one.tell = two.tell = lambda *_arguments, **_options: None
+    one.send_state = two.send_state = lambda *_arguments, **_options: None
     listing = [gevent.spawn(peers.list.follow) for peers in (one, two)]
     gevent.sleep(0.05)
     gevent.killall(listing)
@@ -127,7 +127,7 @@
     asking.address = "127.0.0.4"
     serving.start()
     try:
-        asking.hear(telling(version=9), "127.0.0.1")
+        asking.receive(telling(version=9), "127.0.0.1")
         gevent.sleep(0.7)
     finally:
         serving.stop()
@@ -138,10 +138,10 @@
     """87 nodes tell each other every 0.9 s. Taken for silent between two tellings, they
     would leave parts of every limit to nodes that are there, and refuse callers."""
     peers._expect_tellings_each(0.87)
-    peers.hear(telling(), "127.0.0.2")
+    peers.receive(telling(), "127.0.0.2")
     now = time.monotonic()
-    assert peers.context.limits.part(now + 2.0) == 1.0
-    assert peers.context.limits.part(now + 3.0) == 0.5
+    assert peers.context.limits.reachable_share(now + 2.0) == 1.0
+    assert peers.context.limits.reachable_share(now + 3.0) == 0.5
     assert peers.heard_s > 2.5
 
 
@@ -167,8 +167,8 @@
 
     peers.documents._pull_from = pull_from
     started = time.monotonic()
-    peers.hear(telling(version=9), "127.0.0.2")
-    peers.hear(telling(version=9, sequence=2), "127.0.0.2")
+    peers.receive(telling(version=9), "127.0.0.2")
+    peers.receive(telling(version=9, sequence=2), "127.0.0.2")
     gevent.sleep(0.2)
     assert len(asked) == 1
     assert asked[0] - started < 0.15
@@ -194,7 +194,7 @@
         starting.context.configure(make_table(version=9), b"9", "test")
 
     starting.documents._pull_from = pull_from
-    starting.hear(telling(version=9), "127.0.0.2")
+    starting.receive(telling(version=9), "127.0.0.2")
     started = time.monotonic()
     assert starting.await_first_configuration()
     assert pulled == ["b"]
@@ -213,7 +213,7 @@
     """Few nodes start, and the store gives the list of nodes in milliseconds. Waiting
     out the longest time for it, each turns its callers away for a tenth of a second."""
     peers = Peers(make_context(make_table(), store=MemoryStore()))
-    peers.tell = lambda **_options: None
+    peers.send_state = lambda **_options: None
     listing = gevent.spawn(peers.list.follow)
     started = time.monotonic()
     assert not peers.await_first_configuration()
@@ -225,9 +225,9 @@
     """A node that starts would hear of one only with the next round of tellings, up to
     0.9 s later, and turn its callers away until then."""
     told = []
-    peers.tell = told.extend
-    peers.hear(telling(version=-1), "127.0.0.2")
-    peers.hear(telling(version=1, node="c"), "127.0.0.3")
+    peers.send_state = told.extend
+    peers.receive(telling(version=-1), "127.0.0.2")
+    peers.receive(telling(version=1, node="c"), "127.0.0.3")
     assert [peer.address for peer in told] == ["127.0.0.2"]
 
 
@@ -237,8 +237,8 @@
     for number in range(80):
         peers._add(f"127.0.1.{number}")
     told = []
-    peers.tell = lambda some: told.extend(peer.address for peer in some)
-    loop = gevent.spawn(peers._tell_all)
+    peers.send_state = lambda some: told.extend(peer.address for peer in some)
+    loop = gevent.spawn(peers._broadcast_loop)
     gevent.sleep(0.02)
     told.clear()
     peers.hasten()
@@ -259,10 +259,10 @@
 
     def lose_writes(name):
         if name == "put":
-            raise StoreUncertainError("the answer was lost")
+            raise StoreOutcomeUnknownError("the answer was lost")
 
     store.fault = lose_writes
-    node.tell = lambda **_options: None
+    node.send_state = lambda **_options: None
     listing = gevent.spawn(node.list.follow)
     gevent.sleep(0.05)
     listing.kill()
--- a/packages/endive_gateway/tests/test_servers.py
+++ b/packages/endive_gateway/tests/test_servers.py
@@ -66,7 +66,7 @@
 def test_a_server_whose_address_another_has_waits_for_a_new_entry():
     registry = ServerRegistry()
     registry.put(make_entry(sequence=1))
-    registry.contradict("i-1")
+    registry.mark_misidentified("i-1")
     registry.put(make_entry(sequence=2))
     assert not registry.get("i-1").usable
     registry.put(make_entry(sequence=3, address="127.0.0.1:2"))
--- a/packages/endive_gateway/tests/test_spending.py
+++ b/packages/endive_gateway/tests/test_spending.py
@@ -4,8 +4,8 @@
 import gevent
 import msgspec
 import pytest
-from endive_core.counting import ASK_S, counting_node
-from endive_core.routing import OrganisationTerms
+from endive_core.limit_coordination import GRANT_TIMEOUT_S, coordinator_for
+from endive_core.routing import OrganisationLimits
 from endive_gateway import spending
 from endive_gateway.spending import (
     DECODER,
@@ -17,7 +17,7 @@
 )
 from gateway_builders import make_context, make_route, make_table
 
-TERMS = OrganisationTerms("o", rate=100.0, burst=100.0)
+TERMS = OrganisationLimits("o", rate=100.0, burst=100.0)
 OTHERS = ("127.0.0.2", "127.0.0.3", "127.0.0.4")
 
 
@@ -43,7 +43,7 @@
 
 
 def counting_one(addresses):
-    return counting_node("o", addresses)
+    return coordinator_for("o", addresses)
 
 
 def spend(notes, units):
@@ -90,9 +90,9 @@
     sees the whole tells them before they have let through a limit each."""
     counter.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
     spender, other = counter.others()[:2]
-    counter.hear([entry(spender, 30.0)])
+    counter.receive([entry(spender, 30.0)])
     assert not counter.sent
-    counter.hear([entry(other, 30.0)])
+    counter.receive([entry(other, 30.0)])
     ((entries, addresses),) = counter.sent
     assert {(e.address, e.units) for e in entries} == {(spender, 30.0), (other, 30.0)}
     assert sorted(addresses) == sorted(counter.others())
@@ -104,7 +104,7 @@
     listener = next(node for node in nodes if node != address)
     notes = make_notes(listener, [node for node in nodes if node != listener])
     for _ in range(2):
-        notes.hear([entry(address, 150.0), entry(listener, 9e9)])
+        notes.receive([entry(address, 150.0), entry(listener, 9e9)])
     limits = notes.context.limits
     assert limits.allowances["o"].units == -150.0
     assert not notes.sent
@@ -114,8 +114,8 @@
     """The spender stops between its note and the moment at which all are told."""
     counter.context.limits.left("o", 1e9, rate=100.0, burst=100.0)
     spender = counter.others()[0]
-    counter.hear([entry(spender, 45.0)])
-    counter.context.limits.leave(spender)
+    counter.receive([entry(spender, 45.0)])
+    counter.context.limits.remove_peer(spender)
     spend(counter, 40.0)
     ((entries, _),) = counter.sent
     assert [e.address for e in entries] == [counter.address]
@@ -137,10 +137,10 @@
     """An organisation is taken away while its last requests are admitted."""
     nodes = [counter.address, *counter.others()]
     names = (f"gone-{n}" for n in range(100))
-    gone = next(n for n in names if counting_node(n, nodes) == counter.address)
+    gone = next(n for n in names if coordinator_for(n, nodes) == counter.address)
     counter.context.limits.spend(gone, 5.0)
     counter.spent(gone, 5.0)
-    assert counter.count.untold[gone] == {counter.address: 5.0}
+    assert counter.count.unsent[gone] == {counter.address: 5.0}
     assert not counter.sent
 
 
@@ -167,7 +167,7 @@
         self.fleet = fleet
         self.dead = dead
         for other in others:
-            context.limits.expect(other, context.started_at)
+            context.limits.add_peer(other, context.started_at)
 
     def _send(self, message, addresses):
         copy = DECODER.decode(msgspec.msgpack.encode(message))
@@ -216,7 +216,7 @@
 def assert_two_pass(nodes, waits):
     assert waits.count(0.0) == 2
     assert all(0.0 < wait < 1.0 for wait in waits if wait)
-    spent = [notes.context.limits.tell().get("o", 0.0) for notes in nodes]
+    spent = [notes.context.limits.own_totals().get("o", 0.0) for notes in nodes]
     assert sorted(spent)[-3:] == [0.0, 60.0, 60.0]
 
 
@@ -227,7 +227,7 @@
     gets it, as a limit may go below zero by one, and all others are told when to come
     back."""
     # Nobody is late here, however long the machine holds this process up.
-    monkeypatch.setattr(spending, "ASK_S", 1.5)
+    monkeypatch.setattr(spending, "GRANT_TIMEOUT_S", 1.5)
     nodes, takes = ask_all_at_once(fleet)
     assert_two_pass(nodes, waits_of(takes))
 
@@ -238,7 +238,7 @@
 ):
     """Each datagram takes the machine 10 ms to send, so the last node is answered after
     the first has long spent. Nobody gets more for that."""
-    monkeypatch.setattr(spending, "ASK_S", 1.5)
+    monkeypatch.setattr(spending, "GRANT_TIMEOUT_S", 1.5)
     send = Joined._send
 
     def send_slowly(notes, message, addresses):
@@ -255,11 +255,11 @@
     """The machine holds all nodes up for longer than an answer is waited for. A second
     node adds up then; still no more than two requests pass before all have heard."""
     nodes, takes = ask_all_at_once(fleet)
-    gevent.spawn(time.sleep, 1.5 * ASK_S)
+    gevent.spawn(time.sleep, 1.5 * GRANT_TIMEOUT_S)
     waits = waits_of(takes)
     assert waits.count(0.0) <= 2
     assert all(0.0 < wait < 1.0 for wait in waits if wait)
-    spent = [notes.context.limits.tell().get("o", 0.0) for notes in nodes]
+    spent = [notes.context.limits.own_totals().get("o", 0.0) for notes in nodes]
     assert sum(spent) <= 120.0
 
 
@@ -286,7 +286,7 @@
     asker = asker_of(fleet)
     asker.dead.update(MANY)
     assert asker.take(TERMS, 60.0) > 0.0
-    assert asker.context.limits.tell().get("o", 0.0) == 0.0
+    assert asker.context.limits.own_totals().get("o", 0.0) == 0.0
     assert not asker.answers
 
 
@@ -296,11 +296,11 @@
     counter = fleet[counting_one(MANY)]
     total = Spending("127.0.9.9", 3, 5000, 3600.0, "o", 1e6)
     counter.answer(Ask(1, total))
-    assert counter.context.limits.tell().get("o", 0.0) == 0.0
+    assert counter.context.limits.own_totals().get("o", 0.0) == 0.0
     assert "127.0.9.9" not in counter.context.limits.peers
 
 
 def test_an_answer_that_comes_too_late_changes_nothing(fleet):
     asker = asker_of(fleet)
     asker.take_message(Grant(99, 0.0), "127.0.1.0")
-    assert asker.context.limits.tell().get("o", 0.0) == 0.0
+    assert asker.context.limits.own_totals().get("o", 0.0) == 0.0
--- a/packages/endive_gateway/tests/test_streams.py
+++ b/packages/endive_gateway/tests/test_streams.py
@@ -8,7 +8,7 @@
 )
 from gateway_builders import (
     SERVICE,
-    Running,
+    RunningGateway,
     arrivals,
     make_route,
     make_table,
@@ -16,10 +16,10 @@
 )
 from server_builders import (
     ScriptedServer,
+    close_connection,
     event,
     events,
     ok,
-    reset,
 )
 
 STREAM = {"kind": RouteKind.STREAM, "max_attempts": 2}
@@ -29,7 +29,7 @@
 def test_events_pass_as_they_come():
     route = make_route(**STREAM)
     server = ScriptedServer(events(1, 5, gap_s=0.1))
-    with Running(server, table=make_table(route)) as running:
+    with RunningGateway(server, table=make_table(route)) as running:
         caller = running.caller()
         caller.send()
         started = time.monotonic()
@@ -48,11 +48,12 @@
         events(1, 3, cut=b"id: 4\nda", end=False), events(4, 6), **RESUMABLE
     ) as running:
         got = running.call()
-        second = [s for server in running.servers for s in server.seen][-1]
+        second = [s for server in running.servers for s in server.received][-1]
     assert got.whole
     assert got.body == b"".join(event(number) for number in range(1, 7))
     assert (
-        "after" in second.headers or running.servers[0].seen[-1].headers["after"] == "3"
+        "after" in second.headers
+        or running.servers[0].received[-1].headers["after"] == "3"
     )
 
 
@@ -65,7 +66,7 @@
 
 
 def test_a_stream_whose_second_server_fails_too_does_not_look_whole():
-    with two(events(1, 3, end=False), reset, **RESUMABLE) as running:
+    with two(events(1, 3, end=False), close_connection, **RESUMABLE) as running:
         got = running.call()
     assert not got.whole
     assert got.body == b"".join(event(number) for number in range(1, 4))
@@ -73,10 +74,10 @@
 
 def test_a_callers_own_place_in_a_stream_is_passed_on():
     server = ScriptedServer(events(8, 9))
-    with Running(server, table=make_table(make_route(**RESUMABLE))) as running:
+    with RunningGateway(server, table=make_table(make_route(**RESUMABLE))) as running:
         got = running.call(After="7")
     assert got.body == event(8) + event(9)
-    assert server.seen[0].headers["after"] == "7"
+    assert server.received[0].headers["after"] == "7"
 
 
 def test_a_prompt_that_will_be_late_goes_behind_the_others_at_its_server():
@@ -87,16 +88,18 @@
     table.services[SERVICE] = Service(SERVICE, engine=Engine(slots=64))
     slow = events(1, 2, gap_s=0.3)
 
-    def begin_late(sock, seen):
+    def begin_late(sock, received):
         gevent.sleep(0.2)
-        return slow(sock, seen)
+        return slow(sock, received)
 
-    with Running(ScriptedServer(begin_late, ok), table=table) as running:
+    with RunningGateway(ScriptedServer(begin_late, ok), table=table) as running:
         first, second = running.caller(), running.caller()
         first.send(method="POST", body=b"a", tokens="90000,5")
         gevent.sleep(0.05)
         second.send(method="POST", body=b"b", tokens="500,5")
         assert second.receive().status == 200
         assert first.receive().status == 200
-        ranks = [seen.headers["urgency"] for seen in running.servers[0].seen]
+        ranks = [
+            received.headers["urgency"] for received in running.servers[0].received
+        ]
     assert ranks == ["2", "9"]
--- a/packages/endive_node/src/endive_node/configuration.py
+++ b/packages/endive_node/src/endive_node/configuration.py
@@ -153,7 +153,7 @@
         if snapshot.through <= self.fold.offset:
             return False
         self.fold = ConfigurationFold.from_snapshot(snapshot)
-        self.history.restart(snapshot.through)
+        self.history.reset(snapshot.through)
         self._publish()
         log_event("configuration_adopted", through=snapshot.through)
         return True
--- a/packages/endive_node/src/endive_node/dispatching.py
+++ b/packages/endive_node/src/endive_node/dispatching.py
@@ -22,7 +22,7 @@
     ServiceType,
 )
 from endive_core.scheduler import Scheduler
-from endive_core.shifting import Shift
+from endive_core.stream_moves import StreamMove
 from gevent.event import AsyncResult
 
 from endive_node.interfaces import BackendError, Clock
@@ -196,10 +196,12 @@
         self.metrics.retried(error.reason)
         self.queue_again(ticket, verdict.delay_s)
 
-    def shifts(self, server: ServerView, *, seconds_left: float) -> list[Shift]:
+    def plan_moves(
+        self, server: ServerView, *, seconds_left: float
+    ) -> list[StreamMove]:
         """Return how the streams at `server` leave it, in the order to act."""
         scheduler = self.schedulers[server.service]
-        return scheduler.shifts(server.id, seconds_left=seconds_left)
+        return scheduler.plan_moves(server.id, seconds_left=seconds_left)
 
     def moved(self, ticket: Ticket, tokens: int) -> None:
         """Queue a stream again that its server has stopped for a move."""
--- a/packages/endive_node/src/endive_node/gossip.py
+++ b/packages/endive_node/src/endive_node/gossip.py
@@ -8,7 +8,7 @@
 import gevent
 import thriftpy2
 from endive_core.facts import Fact, FactKind, FactTable
-from endive_core.members import Beat, Digest, Member, MemberState
+from endive_core.members import Digest, Heartbeat, Member, MemberState
 from endive_core.membership import Membership, Timings
 from thriftpy2.protocol import TCompactProtocolFactory
 from thriftpy2.utils import deserialize, serialize
@@ -207,7 +207,7 @@
         within 0.2 s (one play in three, three nodes started together).
         """
         addresses = [member.gossip_address for member in self.members.reachable()]
-        addresses += self.members.strangers()
+        addresses += self.members.unknown_addresses()
         self.random.shuffle(addresses)
         for address in addresses[:ANNOUNCE_TO]:
             self.send(self.members.digest(), address)
@@ -322,10 +322,10 @@
     )
 
 
-def _decode_beats(beats) -> list[Beat]:
+def _decode_beats(beats) -> list[Heartbeat]:
     columns = (beats.members, beats.heartbeats, beats.states, beats.offsets)
     return [
-        Beat(int(member), int(heartbeat), STATES[state], int(offset))
+        Heartbeat(int(member), int(heartbeat), STATES[state], int(offset))
         for member, heartbeat, state, offset in zip(*columns, strict=True)
     ]
 
--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -6,13 +6,13 @@
 import msgspec
 from endive_core.handover import (
     AnswerTransfer,
-    Departure,
+    PendingTransfer,
     RequestTransfer,
     batches,
-    departure_order,
+    handover_targets,
     route_in,
-    targets,
     transfer_of,
+    transfer_order,
 )
 from endive_core.messages import Endpoint
 
@@ -177,7 +177,7 @@
                 run.pause()
         gevent.sleep(0)
         by_id = {run.record.request.request_id: run for run in runs}
-        order = departure_order(
+        order = transfer_order(
             self._departure(run) for name, run in by_id.items() if self._waits(name)
         )
         groups: dict[tuple[str, str], list[Run]] = {}
@@ -196,16 +196,16 @@
     def _waits(self, request_id: str) -> bool:
         return request_id not in self.acknowledged
 
-    def _departure(self, run: Run) -> Departure:
+    def _departure(self, run: Run) -> PendingTransfer:
         request = run.record.request
         level = self.handover.serving.catalogue.priority(request.priority).level
         size = len(request.prompt)
-        return Departure(request.request_id, level, size, not run.dispatched)
+        return PendingTransfer(request.request_id, level, size, not run.dispatched)
 
     def _target(self, request_id: str):
         handover = self.handover
         gone = {handover.section.id} | handover.board.instances()
-        order = targets(
+        order = handover_targets(
             route_in(request_id),
             handover.members.live(),
             zones_under_notice=handover.board.zones(),
--- a/packages/endive_node/src/endive_node/locating.py
+++ b/packages/endive_node/src/endive_node/locating.py
@@ -6,12 +6,12 @@
 import msgspec
 from endive_core.exceptions import EndiveError, ErrorKind, Executed
 from endive_core.handover import (
-    CANDIDATES,
+    LOOKUP_CANDIDATES,
     RequestHead,
+    handover_targets,
     origin_in,
     route_in,
     route_of,
-    targets,
 )
 
 from endive_node.backends import PlainAnswer
@@ -73,7 +73,7 @@
         All candidates are asked at once, since a dead one costs a time-out.
         """
         order = self._candidates(lookup)
-        for asked in (order[: CANDIDATES + 1], order[CANDIDATES + 1 :]):
+        for asked in (order[: LOOKUP_CANDIDATES + 1], order[LOOKUP_CANDIDATES + 1 :]):
             found = self._ask_all(asked[:WIDER_CANDIDATES], lookup)
             if found is not None:
                 return found
@@ -82,7 +82,7 @@
     def _candidates(self, lookup: "Lookup") -> list[str]:
         live = self.members.live()
         own = frozenset({self.node_id})
-        order = targets(
+        order = handover_targets(
             lookup.route,
             live,
             zones_under_notice=self.board.zones(),
--- a/packages/endive_node/src/endive_node/moving.py
+++ b/packages/endive_node/src/endive_node/moving.py
@@ -4,7 +4,7 @@
 
 import gevent
 from endive_core.messages import Endpoint, ServerView
-from endive_core.shifting import ShiftMethod
+from endive_core.stream_moves import MoveMethod
 from gevent.pool import Pool
 
 from endive_node.dispatching import Dispatcher
@@ -72,8 +72,8 @@
         }
         for ticket, run in runs.items():
             ticket.tokens = len(run.record.tokens)
-        shifts = self.dispatcher.shifts(server, seconds_left=left_s)
-        moving = [s for s in shifts if s.method is not ShiftMethod.FINISH]
+        moves = self.dispatcher.plan_moves(server, seconds_left=left_s)
+        moving = [s for s in moves if s.method is not MoveMethod.FINISH]
         log_event(
             "server_leaving", server=server.id, streams=len(runs), moving=len(moving)
         )
@@ -83,14 +83,14 @@
                 pool.spawn(self.move, runs[shift.ticket], server, shift.method)
         pool.join()
 
-    def move(self, run: Run, server: ServerView, method: ShiftMethod) -> None:
+    def move(self, run: Run, server: ServerView, method: MoveMethod) -> None:
         """Stop one stream at `server`; its driver goes on elsewhere."""
         if not at(run, server):
             return
         move = run.move = Move()
         request_id = run.record.request.request_id
         exported = None
-        if method is ShiftMethod.EXPORT:
+        if method is MoveMethod.EXPORT:
             exported = run.backend.export_kv(request_id)
         if exported is not None:
             self.exported.add(1)
--- a/packages/endive_node/src/endive_node/operators.py
+++ b/packages/endive_node/src/endive_node/operators.py
@@ -139,7 +139,7 @@
             "version": fold.offset,
             "items": [
                 self.reports.resource(stored)
-                for stored in fold.listed(parse_kind(kind))
+                for stored in fold.of_kind(parse_kind(kind))
                 if operator.may_touch(stored.body["owner"])
             ],
         }
@@ -184,7 +184,7 @@
         if operator.organisation != ALL_ORGANISATIONS:
             visible = {
                 stored.name
-                for stored in self.configuration.fold.listed(
+                for stored in self.configuration.fold.of_kind(
                     ResourceKind.BACKEND_SERVER_SERVICE
                 )
                 if operator.may_touch(stored.body["owner"])
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -7,7 +7,7 @@
 from endive_core.claims import Claimant, ClaimState
 from endive_core.exceptions import EndiveError, ErrorKind, Executed
 from endive_core.handover import RequestHead, head_of
-from endive_core.lifecycle import UNSENT, Event, Lifecycle, State
+from endive_core.lifecycle import UNSENT_STATES, Event, Lifecycle, State
 from endive_core.messages import Endpoint, ServerView
 
 from endive_node.attempts import RunAttempt
@@ -102,7 +102,7 @@
     @property
     def dispatched(self) -> bool:
         """Whether a server may have run anything of it, here or before."""
-        return self.sent_before or self.life.state not in UNSENT
+        return self.sent_before or self.life.state not in UNSENT_STATES
 
     @property
     def claim_continues(self) -> int:
--- a/packages/endive_node/src/endive_node/settings.py
+++ b/packages/endive_node/src/endive_node/settings.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Annotated, get_args
 
-from endive_core.claims import WINDOW_S
+from endive_core.claims import CLAIM_WINDOW_S
 from endive_core.exceptions import SettingsError
 from endive_core.policy import Policy
 from endive_core.resources import NAME_PATTERN, SHA256_HEX
@@ -129,7 +129,7 @@
     """How non-idempotent requests are claimed in the log."""
 
     window_s: float = Field(
-        WINDOW_S,
+        CLAIM_WINDOW_S,
         gt=0,
         description="how long a claim holds its key, seconds; below the log's "
         "retention, and the same on all nodes",
--- a/packages/endive_node/src/endive_node/shards.py
+++ b/packages/endive_node/src/endive_node/shards.py
@@ -3,7 +3,7 @@
 import random
 
 import gevent
-from endive_core.claims import SHARDS, ClaimOutcome, ClaimTable
+from endive_core.claims import CLAIM_SHARDS, ClaimOutcome, ClaimTable
 from endive_core.exceptions import EndiveError, ErrorKind, RecordError
 from endive_core.records import Claim, Release, claim_stream, decode, encode
 from gevent.event import AsyncResult, Event
@@ -51,7 +51,7 @@
         self.stream = claim_stream(shard)
         self.log = log
         self.clock = clock
-        self.gap_s = SHARDS / settings.appends_per_s
+        self.gap_s = CLAIM_SHARDS / settings.appends_per_s
         self.table = ClaimTable(settings.window_s)
         self.pending: dict[str, str] = {}
         self.waiting: dict[str, list[AsyncResult]] = {}
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -22,7 +22,7 @@
     ClaimVerdict,
     NoFlags,
 )
-from endive_core.lifecycle import TABLE, Event, Flags, State
+from endive_core.lifecycle import REQUEST_TABLE, Event, Flags, State
 from endive_core.records import Claim, Release
 
 KEY = "key"
@@ -251,13 +251,13 @@
 
 def fire(send: Send, event: Event) -> Send:
     """Return `send` after `event`, by the request's chart."""
-    life, flags = TABLE[send.flags, send.life, event]
+    life, flags = REQUEST_TABLE[send.flags, send.life, event]
     return send._replace(life=life, flags=flags)
 
 
 def allows(send: Send, event: Event) -> bool:
     """Return whether the request's chart allows `event`."""
-    return (send.flags, send.life, event) in TABLE
+    return (send.flags, send.life, event) in REQUEST_TABLE
 
 
 def fire_claim(send: Send, event: ClaimEvent) -> Send:
@@ -278,7 +278,7 @@
 def content(table: ClaimTable) -> tuple:
     """Return everything that decides what `table` does with further records."""
     decided = sorted((name, e.outcome()) for name, e in table.entries.items())
-    live = tuple(c.claim_id for c in table.live.get(KEY, ()))
+    live = tuple(c.claim_id for c in table.unreleased.get(KEY, ()))
     return (tuple(decided), live, frozenset(table.released))
 
 
--- a/spec/handover.py
+++ b/spec/handover.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from endive_core.lifecycle import TABLE, UNSENT, Event, Flags, State
+from endive_core.lifecycle import REQUEST_TABLE, UNSENT_STATES, Event, Flags, State
 
 ABSENT = "absent"
 OVER = frozenset({State.FINISHED, State.FAILED, State.REFUSED, State.HANDED_OVER})
@@ -144,7 +144,7 @@
             yield from self.end_steps(state, i, node)
         if allows(node, Event.REFUSE):
             yield "refuse", self.freed(state, i, fire(node, Event.REFUSE))
-        if node.life in (*UNSENT, State.MOVING) and allows(node, Event.FAIL):
+        if node.life in (*UNSENT_STATES, State.MOVING) and allows(node, Event.FAIL):
             yield "fail", self.changed(state, i, fire(node, Event.FAIL))
 
     def end_steps(self, state: tuple, i: int, node: Node):
@@ -313,13 +313,13 @@
 
 def fire(node: Node, event: Event) -> Node:
     """Return `node` after `event`, by the request's chart."""
-    life, flags = TABLE[node.flags, node.life, event]
+    life, flags = REQUEST_TABLE[node.flags, node.life, event]
     return node._replace(life=life, flags=flags)
 
 
 def allows(node: Node, event: Event) -> bool:
     """Return whether the request's chart allows `event`."""
-    return (node.flags, node.life, event) in TABLE
+    return (node.flags, node.life, event) in REQUEST_TABLE
 
 
 def not_run_is_true(state: dict[str, Any]) -> bool:
--- a/spec/mutants.py
+++ b/spec/mutants.py
@@ -88,7 +88,7 @@
     """A table in which a release frees the key, whoever holds it."""
 
     def _unblock(self, key, claim_id):
-        self.live.pop(key, None)
+        self.unreleased.pop(key, None)
 
 
 class ReleasesByKey(ClaimsModel):
--- a/tests/soak/launch.py
+++ b/tests/soak/launch.py
@@ -26,11 +26,11 @@
 
 def share_no_limit():
     """Let each node spend the whole of every limit."""
-    from endive_core.sharing import SharedLimits
+    from endive_core.shared_limits import SharedLimits
 
-    SharedLimits.hear = lambda self, *args, **options: None
-    SharedLimits.note = lambda self, *args, **options: 0.0
-    SharedLimits.part = lambda self, now: 1.0
+    SharedLimits.receive = lambda self, *args, **options: None
+    SharedLimits.apply_update = lambda self, *args, **options: 0.0
+    SharedLimits.reachable_share = lambda self, now: 1.0
 
 
 def say_not_run():
@@ -51,7 +51,7 @@
     from endive_core.leases import DutyLog
     from endive_gateway.duties import Duties
 
-    Duties._is_due = lambda self: True
+    Duties._should_claim = lambda self: True
     DutyLog.may_claim = lambda self, node, now: True
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 import pytest
-from endive_core.exceptions import ANSWERS, REFUSAL_KINDS, RetryReason
+from endive_core.exceptions import ERROR_RESPONSES, REFUSAL_KINDS, RetryReason
 from endive_ctl.cli import Commands, ExitCode
 from endive_node.settings import setting_rows
 from endive_node.telemetry import DROP_REASONS
@@ -33,7 +33,7 @@
     rows = [
         f"| `{kind}` | {answer.status} | {answer.executed} "
         f"| {answer.retry_after_s or 'no use'} |"
-        for kind, answer in ANSWERS.items()
+        for kind, answer in ERROR_RESPONSES.items()
     ]
     assert table.splitlines() == rows
 
--- a/tests/test_not_run.py
+++ b/tests/test_not_run.py
@@ -5,7 +5,7 @@
 
 import builders
 import pytest
-from endive_core.exceptions import ANSWERS, ErrorKind, Executed
+from endive_core.exceptions import ERROR_RESPONSES, ErrorKind, Executed
 from test_claims import PATH, Background, Booking, code
 
 pytestmark = pytest.mark.processes
@@ -107,7 +107,9 @@
     reused = booking.quote(booking.nodes[0], "reused").json()["error"]
     assert (reused["executed"], booking.runs) == ("no", 0)
     seen.add(ErrorKind(reused["code"]))
-    says_no = {k for k, answer in ANSWERS.items() if answer.executed is Executed.NO}
+    says_no = {
+        k for k, answer in ERROR_RESPONSES.items() if answer.executed is Executed.NO
+    }
     elsewhere = {ErrorKind.OVERLOADED, ErrorKind.NOT_READY}
     assert seen == says_no - OPERATORS_ONLY - NOT_CAUSED - elsewhere
 
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -165,9 +165,9 @@
     path = tmp_path / "local.json"
     path.write_text(json.dumps(settings()))
     found = to_gateway_settings(read_settings(str(path)))
-    assert found.place.caller_port == 8221
-    assert found.place.peer_port == 7600
-    assert found.place.seeds == ("10.2.0.4",)
+    assert found.location.caller_port == 8221
+    assert found.location.peer_port == 7600
+    assert found.location.seeds == ("10.2.0.4",)
     assert found.bounds.drain_s == 2.0
     assert found.bounds.config_s == 1.5
     assert found.duties == {"usage", "scale"}
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,7 +1,7 @@
 import pytest
 from endive_gateway.exceptions import BadHeaderError
-from endive_gateway.interfaces import RequestFacts, Sending
-from endive_platform.headers import decode_answer, decode_request, encode_request
+from endive_gateway.interfaces import ForwardingMetadata, RequestMetadata
+from endive_platform.headers import decode_request, decode_response, encode_request
 
 
 def headers(**values):
@@ -10,7 +10,7 @@
 
 
 def test_a_request_is_decoded_whole():
-    facts = decode_request(
+    metadata = decode_request(
         headers(
             Deadline_Ms="1500",
             Authorization="Bearer k",
@@ -20,15 +20,15 @@
             Last_Event_Id="7",
         )
     )
-    assert facts.id == "r1"
-    assert facts.budget_s == 1.5
-    assert facts.key == "k"
-    assert (facts.prompt_tokens, facts.max_tokens) == (1460, 80)
-    assert [(p.id, p.tokens) for p in facts.parts] == [
+    assert metadata.id == "r1"
+    assert metadata.budget_s == 1.5
+    assert metadata.key == "k"
+    assert (metadata.prompt_tokens, metadata.max_tokens) == (1460, 80)
+    assert [(p.id, p.tokens) for p in metadata.parts] == [
         (0x5C1E07A2, 800),
         (0x91BD3F06, 410),
     ]
-    assert facts.last_event == "7"
+    assert metadata.last_event_id == "7"
 
 
 @pytest.mark.parametrize(
@@ -77,8 +77,8 @@
                 Request_Priority="0",
                 X_Own="kept",
             ),
-            RequestFacts("r1", prompt_tokens=5),
-            Sending("i-1", "o", 0.25, urgency=3),
+            RequestMetadata("r1", prompt_tokens=5),
+            ForwardingMetadata("i-1", "o", 0.25, server_priority=3),
         )
     )
     assert sent == {
@@ -92,24 +92,26 @@
 
 
 def test_a_resumed_run_names_its_place_and_copy():
-    sending = Sending("i-1", "", 1.0, last_event="12", copy="1.2.3.4:5/h")
-    sent = dict(encode_request(headers(), RequestFacts("r1"), sending))
+    forwarding = ForwardingMetadata(
+        "i-1", "", 1.0, last_event_id="12", kv_source="1.2.3.4:5/h"
+    )
+    sent = dict(encode_request(headers(), RequestMetadata("r1"), forwarding))
     assert sent[b"Last-Event-Id"] == b"12"
     assert sent[b"Kv-From"] == b"1.2.3.4:5/h"
     assert b"Tenant" not in sent
 
 
 def test_an_answer_is_decoded_whole():
-    facts = decode_answer(
+    metadata = decode_response(
         headers(Response_Seal="3e", Not_Run="1", Server_Load="3,1,8", Instance_Id="i-1")
     )
-    assert facts.request_id == "r1"
-    assert facts.sealed
-    assert facts.not_run
-    assert (facts.running, facts.waiting, facts.slots) == (3, 1, 8)
-    assert facts.server_id == "i-1"
+    assert metadata.request_id == "r1"
+    assert metadata.signed
+    assert metadata.not_run
+    assert (metadata.running, metadata.waiting, metadata.slots) == (3, 1, 8)
+    assert metadata.server_id == "i-1"
 
 
 @pytest.mark.parametrize("load", ["", "3", "3,1", "a,b,c", "3,1,8,9", "-1,0,8"])
 def test_an_unreadable_load_is_none(load):
-    assert decode_answer(headers(Server_Load=load)).running is None
+    assert decode_response(headers(Server_Load=load)).running is None
--- a/tests/test_platform_logs.py
+++ b/tests/test_platform_logs.py
@@ -3,10 +3,10 @@
 
 import gevent
 import pytest
-from endive_core.routing import OrganisationTerms, RouteKind
+from endive_core.routing import OrganisationLimits, RouteKind
 from endive_gateway.connections import is_listening
 from endive_node import logs
-from gateway_builders import Running, make_route, make_table
+from gateway_builders import RunningGateway, make_route, make_table
 from server_builders import ScriptedServer
 
 PAGE = Path(__file__).resolve().parents[1] / "docs" / "OPERATIONS.md"
@@ -44,14 +44,14 @@
 
 
 def test_the_lines_on_the_operators_page_are_those_that_are_written(lines):
-    terms = OrganisationTerms("o", rate=0.01, burst=0.001)
+    terms = OrganisationLimits("o", rate=0.01, burst=0.001)
     limited = make_table(
         make_route(public=False), organisations={"o": terms}, keys={"k": "o"}
     )
-    with Running(ScriptedServer(), table=limited) as running:
+    with RunningGateway(ScriptedServer(), table=limited) as running:
         for _ in range(3):
             running.call(Key="k")
-    with Running(table=make_table()) as running:
+    with RunningGateway(table=make_table()) as running:
         running.call()
     server = ScriptedServer()
 
@@ -62,7 +62,7 @@
 
     server.script.append(fall_over)
     unsafe = make_table(make_route(kind=RouteKind.NON_IDEMPOTENT, max_attempts=1))
-    with Running(server, table=unsafe) as running:
+    with RunningGateway(server, table=unsafe) as running:
         running.context.placer.is_listening = lambda address: False
         running.call(method="POST", body=b"x")
     gevent.sleep(0)
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -35,8 +35,8 @@
 
 def know(context, server):
     context.registry.put(make_entry(server.id, address=server.address))
-    context.registry.known_once = True
-    context.registry.changed()
+    context.registry.is_loaded = True
+    context.registry.notify_listeners()
 
 
 def test_a_caller_that_connects_while_libraries_load_is_served(tmp_path, monkeypatch):
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -5,12 +5,12 @@
 import gevent
 import pytest
 from endive_gateway.exceptions import (
-    CloudEmptyError,
+    CloudCapacityError,
     CloudError,
     StoreConflictError,
     StoreError,
-    StoreForgottenError,
-    StoreUncertainError,
+    StoreOffsetOutOfRangeError,
+    StoreOutcomeUnknownError,
 )
 from endive_gateway.interfaces import Order, Topic
 from endive_platform import calls as calls_module
@@ -76,7 +76,7 @@
 
 
 def test_forgotten_records_tell_the_oldest_kept():
-    with pytest.raises(StoreForgottenError) as caught:
+    with pytest.raises(StoreOffsetOutOfRangeError) as caught:
         store(Response(410, {"first": 12})).read(Topic.SERVERS, 7)
     assert caught.value.first == 12
 
@@ -106,11 +106,11 @@
 
 
 def test_a_lost_answer_is_uncertain_and_a_refused_connection_is_not():
-    with pytest.raises(StoreUncertainError):
+    with pytest.raises(StoreOutcomeUnknownError):
         store(CallFailedError("lost", sent=True)).append(Topic.DUTIES, b"x")
     with pytest.raises(StoreError) as caught:
         store(CallFailedError("refused", sent=False)).append(Topic.DUTIES, b"x")
-    assert not isinstance(caught.value, StoreUncertainError)
+    assert not isinstance(caught.value, StoreOutcomeUnknownError)
 
 
 @pytest.mark.parametrize("status", [429, 503, 507, 500])
@@ -122,7 +122,7 @@
 def test_a_read_that_was_lost_did_nothing():
     with pytest.raises(StoreError) as caught:
         store(CallFailedError("lost", sent=True)).read(Topic.SERVERS, 0)
-    assert not isinstance(caught.value, StoreUncertainError)
+    assert not isinstance(caught.value, StoreOutcomeUnknownError)
 
 
 def cloud(*script):
@@ -145,7 +145,7 @@
     bodies = [json.loads(call[3]) for call in made.calls.made]
     assert bodies[0] == {"service": "s", "zone": "a", "desired": 2, "spot": True}
     assert "spot" not in bodies[1]
-    with pytest.raises(CloudEmptyError):
+    with pytest.raises(CloudCapacityError):
         made.order("n1", 1, Order("s", "a", 2, True))
     with pytest.raises(CloudError):
         made.order("n1", 1, Order("s", "a", 2, True))
