--- a/packages/endive_core/src/endive_core/digests.py
+++ b/packages/endive_core/src/endive_core/digests.py
@@ -168,13 +168,13 @@
             known.last_sent = self.datagram_number
             known.times_sent += 1
             member = known.member
-            beat = Heartbeat(
+            entry = Heartbeat(
                 member_key(member),
                 member.heartbeat,
                 member.state,
                 member.configuration_offset,
             )
-            digest.beats.append(beat)
+            digest.beats.append(entry)
 
     def _last_sent(self, member_id: str) -> int:
         return self.source.known[member_id].last_sent
--- a/packages/endive_core/src/endive_core/membership.py
+++ b/packages/endive_core/src/endive_core/membership.py
@@ -285,8 +285,8 @@
         self._merge_member(digest.sender)
         for member in digest.members:
             self._merge_member(member)
-        for beat in digest.beats:
-            self._merge_heartbeat(beat)
+        for received in digest.beats:
+            self._merge_heartbeat(received)
         for fact in digest.facts:
             self.facts.merge(fact)
         self.highest_offset = max(
@@ -326,20 +326,22 @@
         elif not self._is_tombstoned(member.id, member.logical_time):
             self._add(member)
 
-    def _merge_heartbeat(self, beat: Heartbeat) -> None:
-        member_id = self.ids.get(beat.member)
+    def _merge_heartbeat(self, received: Heartbeat) -> None:
+        member_id = self.ids.get(received.member)
         if member_id == self.me.id:
             return
         known = self.known.get(member_id)
         if known is None:
-            if member_id is None or not self._is_tombstoned_heartbeat(member_id, beat):
-                self._request_member(beat.member)
-        elif beat.heartbeat > known.member.heartbeat:
+            if member_id is None or not self._is_tombstoned_heartbeat(
+                member_id, received
+            ):
+                self._request_member(received.member)
+        elif received.heartbeat > known.member.heartbeat:
             member = replace(
                 known.member,
-                heartbeat=beat.heartbeat,
-                state=beat.state,
-                configuration_offset=beat.configuration_offset,
+                heartbeat=received.heartbeat,
+                state=received.state,
+                configuration_offset=received.configuration_offset,
             )
             self._replace(known, member)
 
@@ -362,9 +364,9 @@
         tombstone = self.tombstones.get(member_id)
         return tombstone is not None and logical_time <= tombstone[0].logical_time
 
-    def _is_tombstoned_heartbeat(self, member_id: str, beat: Heartbeat) -> bool:
+    def _is_tombstoned_heartbeat(self, member_id: str, received: Heartbeat) -> bool:
         tombstone = self.tombstones.get(member_id)
-        return tombstone is not None and beat.heartbeat <= tombstone[0].heartbeat
+        return tombstone is not None and received.heartbeat <= tombstone[0].heartbeat
 
     def _add(self, member: Member) -> None:
         key = member_key(member)
