--- a/packages/endive_core/src/endive_core/digests.py
+++ b/packages/endive_core/src/endive_core/digests.py
@@ -44,13 +44,13 @@
 
     Attributes
     ----------
-    heard_at : float
+    last_heard_at : float
         When its heartbeat last increased, in seconds on this node's clock.
-    told : int
+    last_sent : int
         Number of the last datagram that contained the member.
-    times_told : int
+    times_sent : int
         Number of datagrams that contained its latest heartbeat.
-    news_left : int
+    announcements_left : int
         Number of datagrams that are still to announce its whole entry.
     """
 
--- a/packages/endive_core/src/endive_core/leases.py
+++ b/packages/endive_core/src/endive_core/leases.py
@@ -32,7 +32,7 @@
     holder : str
         The node that wrote the record.
     incarnation : int
-        Number of the node's start, which tells its restarts apart.
+        Identifies one start of that node, so that its restarts are told apart.
     fence : int
         Fencing token of the holder's claim; 0 in the claim itself.
     reported : int
--- a/packages/endive_core/src/endive_core/membership.py
+++ b/packages/endive_core/src/endive_core/membership.py
@@ -94,7 +94,7 @@
         Returns seconds on this node's clock.
     random : RandomSource
         Used to choose the receiver of the next datagram.
-    round_s : float
+    tick_period_s : float
         Seconds between two calls of :meth:`tick` if nothing delays the node.
 
     Attributes
--- a/packages/endive_core/tests/test_facts.py
+++ b/packages/endive_core/tests/test_facts.py
@@ -47,7 +47,7 @@
 
 def test_fact_passed_to_and_fro_expires():
     """Two nodes send each other a zone's notice again and again, and each transit makes
-    its end a little later. The zone must not stay under notice for ever."""
+    its end a little later. The zone must not stay under notice and unused for ever."""
     (first, time), (second, _) = make_table(), make_table()
     second.now = time.now
     first.zone_under_notice("brest", until=10.0)
