--- a/packages/endive_core/tests/test_lifecycle.py
+++ b/packages/endive_core/tests/test_lifecycle.py
@@ -4,7 +4,7 @@
 from endive_core.charts import IllegalEventError, load_chart
 from endive_core.exceptions import Executed
 from endive_core.lifecycle import (
-    FINAL,
+    FINAL_STATES,
     REQUEST_TABLE,
     Event,
     Flags,
@@ -53,7 +53,7 @@
     start = Flags(*values)
     for (state, flags), path in walk(start).items():
         assert step_sismic(path, start) == (state, flags)
-        if state in FINAL:
+        if state in FINAL_STATES:
             continue
         for event in Event:
             expected = REQUEST_TABLE.get((flags, state, event), (state, flags))
@@ -61,8 +61,8 @@
 
 
 def test_refusal_as_not_run_is_impossible_after_dispatch():
-    """A node gives up on a request after sending it and would tell the caller that
-    it was not run; the caller would then send the same confirmation again."""
+    """A node gives up on a request after sending it. If it answered "not run", the
+    caller would send the same request again and it could run twice."""
     life = Lifecycle(non_idempotent=True)
     for event in (Event.CLAIM, Event.WON, Event.DISPATCH):
         life.fire(event)
