--- a/packages/endive_node/src/endive_node/attempts.py
+++ b/packages/endive_node/src/endive_node/attempts.py
@@ -35,7 +35,7 @@
     lifecycle: Lifecycle
     trace: RequestTrace
     backend: EngineServer | None
-    blob: dict | None
+    kv_cache: dict | None
 
 
 class RunAttempt:
@@ -48,11 +48,11 @@
     def steps(self) -> Iterator[None]:
         """Make the attempt; yield after each batch of pieces."""
         if self.run.record.request.endpoint is Endpoint.SERVICE:
-            self._call_plain()
+            self._call_service()
         else:
             yield from self._stream()
 
-    def _call_plain(self) -> None:
+    def _call_service(self) -> None:
         plain = self.run.context.clients.plain(self.server.address)
         request = self.run.record.request
         self.run.record.plain_response = plain.call(
@@ -63,9 +63,9 @@
     def _stream(self) -> Iterator[None]:
         record = self.run.record
         self.run.backend = self.run.context.clients.engine(self.server.address)
-        if self.run.blob is not None:
-            self.run.backend.import_kv(self.run.blob)
-            self.run.blob = None
+        if self.run.kv_cache is not None:
+            self.run.backend.import_kv(self.run.kv_cache)
+            self.run.kv_cache = None
         batches = self.run.backend.run(
             record.request,
             record.attempt,
@@ -80,7 +80,7 @@
                     reason=RetryReason.SERVER_LEAVING,
                     stopped=True,
                 )
-            self._take(pieces)
+            self._add_pieces(pieces)
             record.wake()
             if record.finish_reason:
                 break
@@ -92,7 +92,7 @@
                 reason=RetryReason.SERVER_FAILED,
             )
 
-    def _take(self, pieces: list[Piece]) -> None:
+    def _add_pieces(self, pieces: list[Piece]) -> None:
         record = self.run.record
         before = len(record.tokens)
         for piece in pieces:
@@ -102,15 +102,15 @@
                 if reason == REORDERED:
                     record.keep_early(piece)
             else:
-                record.take(piece)
-        taken = len(record.tokens) - before
-        if taken and self.run.lifecycle.allows(Event.FIRST_PIECE):
+                record.append(piece)
+        added = len(record.tokens) - before
+        if added and self.run.lifecycle.allows(Event.FIRST_PIECE):
             self.run.lifecycle.fire(Event.FIRST_PIECE)
             self.run.context.dispatcher.started(self.run.ticket)
-        if taken and record.first_token_at is None:
-            self.run.trace.note("first token")
+        if added and record.first_token_at is None:
+            self.run.trace.add_note("first token")
             record.first_token_at = self.run.context.clock.now()
             self.run.context.metrics.first_token.record(
                 record.first_token_at - record.accepted_at
             )
-        self.run.context.metrics.tokens.add(taken)
+        self.run.context.metrics.tokens.add(added)
--- a/packages/endive_node/src/endive_node/request_registry.py
+++ b/packages/endive_node/src/endive_node/request_registry.py
@@ -67,12 +67,12 @@
             return REORDERED
         return ""
 
-    def take(self, piece: Piece) -> None:
+    def append(self, piece: Piece) -> None:
         """Append a piece that :meth:`classify` let through, and any that waited."""
         self.tokens.append(piece.text)
         self.finish_reason = piece.finish_reason
         if self.early:
-            self._take_early()
+            self._append_early()
 
     def keep_early(self, piece: Piece) -> None:
         """Keep a piece that came before its turn until those before it are there.
@@ -86,7 +86,7 @@
         if len(self.early) < MAX_EARLY_PIECES:
             self.early[piece.index] = piece
 
-    def _take_early(self) -> None:
+    def _append_early(self) -> None:
         if self.early_attempt != self.attempt:
             self.early.clear()
         while (piece := self.early.pop(len(self.tokens), None)) is not None:
@@ -151,7 +151,7 @@
 
 
 def read_tokens(
-    record: RequestRecord, start: int, progress: Callable[[], None]
+    record: RequestRecord, start: int, advance: Callable[[], None]
 ) -> Iterator[list[str]]:
     """Yield a record's tokens from index `start`, as they come.
 
@@ -168,12 +168,12 @@
     position = start
     while True:
         if position < len(record.tokens):
-            fresh = record.tokens[position:]
-            position += len(fresh)
-            yield fresh
+            new_tokens = record.tokens[position:]
+            position += len(new_tokens)
+            yield new_tokens
         elif record.ended:
             break
         else:
-            progress()
+            advance()
     if record.error is not None:
         raise record.error
--- a/packages/endive_node/src/endive_node/request_traces.py
+++ b/packages/endive_node/src/endive_node/request_traces.py
@@ -36,7 +36,7 @@
     executed: str = "no"
     notes: list[Note] = field(default_factory=list)
 
-    def note(self, text: str) -> None:
+    def add_note(self, text: str) -> None:
         """Add a note; a few for each request, never one for each token."""
         self.notes.append(Note(self.clock.now(), text))
 
@@ -67,26 +67,26 @@
     def __init__(self, clock: Clock, max_trails: int) -> None:
         self.clock = clock
         self.max_trails = max_trails
-        self.by_id: OrderedDict[str, RequestTrace] = OrderedDict()
+        self.traces_by_id: OrderedDict[str, RequestTrace] = OrderedDict()
 
-    def begin(self, request: Request) -> RequestTrace:
+    def get_or_create(self, request: Request) -> RequestTrace:
         """Return the trail of `request`, new if it has none yet."""
-        trace = self.by_id.get(request.request_id)
+        trace = self.traces_by_id.get(request.request_id)
         if trace is None:
             trace = RequestTrace(
                 request.request_id, request.organisation, request.model, self.clock
             )
-            self.by_id[request.request_id] = trace
-            if len(self.by_id) > self.max_trails:
-                self.by_id.popitem(last=False)
+            self.traces_by_id[request.request_id] = trace
+            if len(self.traces_by_id) > self.max_trails:
+                self.traces_by_id.popitem(last=False)
         return trace
 
-    def refused(self, request: Request, error: EndiveError) -> None:
+    def add_refusal(self, request: Request, error: EndiveError) -> None:
         """Note a request that was refused before it was accepted."""
-        trace = self.begin(request)
+        trace = self.get_or_create(request)
         trace.state = "refused"
         trace.executed = str(error.executed)
-        trace.note(ending(error))
+        trace.add_note(error_note(error))
 
     def get(self, request_id: str) -> RequestTrace:
         """Return the trail of a request.
@@ -96,7 +96,7 @@
         EndiveError
             ``unknown_request`` if it never came here, or too long ago.
         """
-        trace = self.by_id.get(request_id)
+        trace = self.traces_by_id.get(request_id)
         if trace is None:
             raise EndiveError(
                 ErrorKind.UNKNOWN_REQUEST,
@@ -105,15 +105,15 @@
         return trace
 
 
-def ending(error: EndiveError) -> str:
+def error_note(error: EndiveError) -> str:
     """Return the note of a request that ends in `error`."""
-    when = (
+    retry_note = (
         "" if error.retry_after_s is None else f"; come back in {error.retry_after_s} s"
     )
-    return f"{error.kind}: {error.message}{when}"
+    return f"{error.kind}: {error.message}{retry_note}"
 
 
-def predicted(ticket: Ticket | None) -> str:
+def queue_note(ticket: Ticket | None) -> str:
     """Return how a request was queued, for its trail."""
     if ticket is None:
         return ", handed over by another node"
@@ -124,7 +124,7 @@
     )
 
 
-def cached(ticket: Ticket) -> str:
+def cache_note(ticket: Ticket) -> str:
     """Return what placement expected of the server's cache, for the trail."""
     return (
         f", {ticket.uncached_tokens:.0f} of {ticket.call.prompt_tokens} "
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -17,7 +17,7 @@
 from endive_node.logs import log_event
 from endive_node.pending_moves import PendingMove
 from endive_node.request_registry import RequestRecord, read_tokens
-from endive_node.request_traces import cached, ending, predicted
+from endive_node.request_traces import cache_note, error_note, queue_note
 
 
 class Run:
@@ -35,8 +35,8 @@
         self.record = record
         self.ticket = ticket
         self.lifecycle = Lifecycle(record.request.non_idempotent)
-        self.trace = context.traces.begin(record.request)
-        self.trace.note(f"accepted by {context.node_id}{predicted(ticket)}")
+        self.trace = context.traces.get_or_create(record.request)
+        self.trace.add_note(f"accepted by {context.node_id}{queue_note(ticket)}")
         self.claim: Claimant | None = None
         self.backend: EngineServer | None = None
         self.server: ServerView | None = None
@@ -47,7 +47,7 @@
         self.continues = 0
         self.moved = False
         self.pending_move: PendingMove | None = None
-        self.blob: dict | None = None
+        self.kv_cache: dict | None = None
         self.readers = 0
         self._steps = self._drive()
 
@@ -61,12 +61,12 @@
         """
         self.readers += 1
         try:
-            yield from read_tokens(self.record, start, self._progress)
+            yield from read_tokens(self.record, start, self._advance_or_wait)
         finally:
             self.readers -= 1
             self._reader_left()
 
-    def _progress(self) -> None:
+    def _advance_or_wait(self) -> None:
         if self.driving or self.paused:
             self.record.progressed.wait()
         else:
@@ -123,7 +123,7 @@
     def finish_in_background(self) -> None:
         """Drive to the end without a reader."""
         while not self.record.ended:
-            self._progress()
+            self._advance_or_wait()
 
     def pause(self) -> None:
         """Stop driving; readers wait until the request goes on here or has moved.
@@ -153,10 +153,10 @@
         self.pending_move = None
         if self.lifecycle.allows(Event.HAND_OVER):
             self.lifecycle.fire(Event.HAND_OVER)
-            self._give_up_claim()
-        self._give_up_ticket()
+            self._withdraw_claim()
+        self._release_ticket()
 
-    def _give_up_ticket(self) -> None:
+    def _release_ticket(self) -> None:
         if self.ticket is not None:
             self.context.dispatcher.end(self.ticket)
             self.ticket = None
@@ -187,7 +187,7 @@
         if self.record.ended:
             return
         self.lifecycle.fire(Event.ACKNOWLEDGED)
-        self._end_in(
+        self._end_with(
             EndiveError(
                 ErrorKind.MOVED,
                 "this node is being reclaimed; go on at any other node with "
@@ -200,7 +200,7 @@
         """End an answer that its former holder had whole."""
         self.lifecycle.fire(Event.COMPLETE)
         self.record.finish_reason = finish_reason
-        self._ended(outcome="ok")
+        self._record_end(outcome="ok")
         self.record.wake()
 
     def end_failed(self, error: EndiveError) -> None:
@@ -252,21 +252,21 @@
     def _fail(self, error: EndiveError) -> None:
         if self.record.ended:
             return
-        error = self._true_error(error)
+        error = self._correct_executed(error)
         self.lifecycle.fire(
             Event.REFUSE if self.lifecycle.allows(Event.REFUSE) else Event.FAIL
         )
-        self._give_up_claim()
-        self._end_in(error)
+        self._withdraw_claim()
+        self._end_with(error)
 
-    def _end_in(self, error: EndiveError) -> None:
+    def _end_with(self, error: EndiveError) -> None:
         self.record.error = error
-        self.trace.note(ending(error))
+        self.trace.add_note(error_note(error))
         self.context.metrics.count_refusal(error.kind)
-        self._ended(outcome=error.kind)
+        self._record_end(outcome=error.kind)
         self.record.wake()
 
-    def _true_error(self, error: EndiveError) -> EndiveError:
+    def _correct_executed(self, error: EndiveError) -> EndiveError:
         """Return `error`, or one that doesn't deny an attempt that may have run.
 
         A later attempt that finds no server, say, would tell the caller "not run"
@@ -282,12 +282,12 @@
         )
         return EndiveError(kind, f"after an attempt that may have run: {error.message}")
 
-    def _ended(self, *, outcome: str) -> None:
+    def _record_end(self, *, outcome: str) -> None:
         record = self.record
         record.finished_at = self.context.clock.now()
         self.trace.state = str(self.lifecycle.state)
         self.trace.executed = str(self.lifecycle.executed)
-        self._give_up_ticket()
+        self._release_ticket()
         self.context.metrics.finished.add(1)
         log_event(
             "request_ended",
@@ -314,7 +314,7 @@
             try:
                 yield from self._attempt(server)
             except BackendError as error:
-                if not self._take_move(error):
+                if not self._finish_move(error):
                     self._decide_retry(error)
 
     def _claim(self) -> None:
@@ -347,7 +347,7 @@
         if self.claim is not None and self.lifecycle.state is State.CLAIMED:
             self.claim.not_started()
 
-    def _give_up_claim(self) -> None:
+    def _withdraw_claim(self) -> None:
         """Free the key if nothing was sent; called once the chart rules that out."""
         if self.claim is not None:
             self.context.claims.withdraw(self.claim)
@@ -359,41 +359,43 @@
         record.attempt += 1
         record.servers.append(server.id)
         self.server = server
-        begun = f"attempt {record.attempt + 1} at {server.id} in {server.zone}"
-        self.trace.note(f"{begun} from token {len(record.tokens)}{cached(self.ticket)}")
+        attempt_text = f"attempt {record.attempt + 1} at {server.id} in {server.zone}"
+        self.trace.add_note(
+            f"{attempt_text} from token {len(record.tokens)}{cache_note(self.ticket)}"
+        )
         yield from RunAttempt(self, server).steps()
         self.lifecycle.fire(Event.COMPLETE)
         tokens = len(record.tokens)
-        self.trace.note(f"whole, {tokens} tokens")
+        self.trace.add_note(f"whole, {tokens} tokens")
         self.context.dispatcher.finished(self.ticket, tokens or 1)
-        self._ended(outcome="ok")
+        self._record_end(outcome="ok")
 
-    def _take_move(self, error: BackendError) -> bool:
+    def _finish_move(self, error: BackendError) -> bool:
         """Return whether the attempt ended because the stream moves off its server.
 
         Whoever stopped it there has the tokens up to the stop, and the KV cache if
         there was time to export it. A move is no failure: it does not count against
         the limit of attempts.
         """
-        move, self.pending_move = self.pending_move, None
-        if move is None or not move.wait():
+        pending_move, self.pending_move = self.pending_move, None
+        if pending_move is None or not pending_move.wait():
             return False
         if error.started:
             self.lifecycle.fire(Event.SERVER_STOPPED)
         else:
             self._not_started()
-        self.record.extend(move.tokens)
-        self.blob = move.blob
-        self.trace.note(
+        self.record.extend(pending_move.tokens)
+        self.kv_cache = pending_move.kv_cache
+        self.trace.add_note(
             f"stopped at {self.record.servers[-1]} for a move, with "
-            f"{len(move.tokens)} tokens{' and the KV cache' if move.blob else ''}"
+            f"{len(pending_move.tokens)} tokens{' and the KV cache' if pending_move.kv_cache else ''}"
         )
         self.context.dispatcher.moved(self.ticket, len(self.record.tokens))
         return True
 
     def _decide_retry(self, error: BackendError) -> None:
         """Return if another attempt is allowed; otherwise raise the final answer."""
-        self.trace.note(
+        self.trace.add_note(
             f"attempt {self.record.attempt + 1} failed: {error.reason}: {error}"
         )
         if not error.started:
--- a/packages/endive_node/src/endive_node/serving.py
+++ b/packages/endive_node/src/endive_node/serving.py
@@ -19,7 +19,7 @@
 from endive_node.settings import LimitsSection
 from endive_node.telemetry import Metrics
 
-EXPIRE_EVERY_S = 1.0
+EXPIRY_INTERVAL_S = 1.0
 
 
 class Serving:
@@ -74,7 +74,7 @@
             return self._accept(request)
         except EndiveError as error:
             self.metrics.count_refusal(error.kind)
-            self.traces.refused(request, error)
+            self.traces.add_refusal(request, error)
             error.request_id = request.request_id
             raise
 
@@ -82,9 +82,9 @@
         request.fingerprint = fingerprint(
             f"{request.endpoint}\0{request.path}\0{request.model}\0{request.prompt}"
         )
-        known = self._joined(request)
-        if known is not None:
-            return known
+        existing = self._find_duplicate(request)
+        if existing is not None:
+            return existing
         if self.stopping:
             raise EndiveError(ErrorKind.STOPPING, "this node takes no new requests")
         if request.non_idempotent and not request.key:
@@ -100,7 +100,7 @@
         self.metrics.accepted.add(1)
         return run
 
-    def _joined(self, request: Request) -> "Run | None":
+    def _find_duplicate(self, request: Request) -> "Run | None":
         if not request.key:
             return None
         run = self.registry.by_idempotency_key(request.organisation, request.key)
@@ -130,5 +130,5 @@
     def expire(self) -> None:
         """Forget finished answers for ever; the body of a greenlet."""
         while True:
-            gevent.sleep(EXPIRE_EVERY_S)
+            gevent.sleep(EXPIRY_INTERVAL_S)
             self.registry.expire(self.clock.now())
--- a/packages/endive_node/tests/test_request_registry.py
+++ b/packages/endive_node/tests/test_request_registry.py
@@ -7,8 +7,8 @@
 def record():
     request = Request("r-1", "kerloch", "default", "chat", Endpoint.CHAT, {}, "x", 9)
     record = RequestRecord(request, accepted_at=0.0, attempt=2)
-    record.take(Piece("r-1", 2, 0, "a "))
-    record.take(Piece("r-1", 2, 1, "b "))
+    record.append(Piece("r-1", 2, 0, "a "))
+    record.append(Piece("r-1", 2, 1, "b "))
     return record
 
 
