--- a/packages/endive_node/src/endive_node/dispatching.py
+++ b/packages/endive_node/src/endive_node/dispatching.py
@@ -67,11 +67,11 @@
     def refresh(self) -> None:
         """Take over what the configuration now declares."""
         services = self.catalogue.services
-        for gone in self.schedulers.keys() - services.keys():
-            scheduler = self.schedulers.pop(gone)
+        for removed in self.schedulers.keys() - services.keys():
+            scheduler = self.schedulers.pop(removed)
             scheduler.close()
             self.pump(scheduler)
-            del self.servers[gone]
+            del self.servers[removed]
         for name in services:
             self._refresh_service(name)
 
@@ -103,7 +103,7 @@
         for scheduler in self.schedulers.values():
             scheduler.set_nodes(nodes)
 
-    def leave(self, server_id: str) -> None:
+    def exclude_server(self, server_id: str) -> None:
         """Give a server that is being reclaimed no new work."""
         for scheduler in self.schedulers.values():
             scheduler.leaving(server_id)
@@ -132,8 +132,8 @@
         scheduler = self.schedulers.get(service)
         if scheduler is None:
             raise EndiveError(ErrorKind.NO_SERVER, f"no server of {service!r} is known")
-        verdict = scheduler.offer(self._call(request, service), self.clock.now())
-        return self.enter(verdict, scheduler)
+        decision = scheduler.offer(self._call(request, service), self.clock.now())
+        return self.enter(decision, scheduler)
 
     def take_over(self, request: Request) -> Ticket:
         """Queue a request that is accepted already, here or at another node.
@@ -148,8 +148,8 @@
         if scheduler is None:
             raise EndiveError(ErrorKind.NO_SERVER, f"no server of {service!r} is known")
         call = self._call(request, service)
-        verdict = scheduler.take_over(call, self.clock.now())
-        return self.enter(verdict, scheduler)
+        decision = scheduler.take_over(call, self.clock.now())
+        return self.enter(decision, scheduler)
 
     def _call(self, request: Request, service: str) -> Call:
         priority = self.catalogue.priority(request.priority)
@@ -182,19 +182,19 @@
             If there must be no further attempt.
         """
         scheduler = self.owners[ticket]
-        verdict = scheduler.failed(
+        decision = scheduler.failed(
             ticket,
             self.clock.now(),
             error.reason,
             started=error.started,
-            crashed=self._crash(ticket, error),
+            crashed=self._crash_id(ticket, error),
             max_attempts=self.max_attempts,
         )
         self.pump(scheduler)
-        if isinstance(verdict, Refusal):
-            raise refusal_error(verdict, f"{verdict.message}; the last: {error}")
+        if isinstance(decision, Refusal):
+            raise refusal_error(decision, f"{decision.message}; the last: {error}")
         self.metrics.count_retry(error.reason)
-        self.queue_again(ticket, verdict.delay_s)
+        self.queue_again(ticket, decision.delay_s)
 
     def plan_moves(
         self, server: ServerView, *, seconds_left: float
@@ -203,7 +203,7 @@
         scheduler = self.schedulers[server.service]
         return scheduler.plan_moves(server.id, seconds_left=seconds_left)
 
-    def moved(self, ticket: Ticket, tokens: int) -> None:
+    def requeue_moved(self, ticket: Ticket, tokens: int) -> None:
         """Queue a stream again that its server has stopped for a move."""
         scheduler = self.owners[ticket]
         self.waiting[ticket] = AsyncResult()
@@ -211,7 +211,7 @@
         self.metrics.count_retry(RetryReason.SERVER_LEAVING)
         self.pump(scheduler)
 
-    def _crash(self, ticket: Ticket, error: BackendError) -> str:
+    def _crash_id(self, ticket: Ticket, error: BackendError) -> str:
         """Return the name of the crash that ended an attempt; empty if none did.
 
         A connection may break for many reasons; only a server that no longer listens
--- a/packages/endive_node/src/endive_node/pending_moves.py
+++ b/packages/endive_node/src/endive_node/pending_moves.py
@@ -18,17 +18,19 @@
 
     def __init__(self) -> None:
         self.tokens: list[str] = []
-        self.blob: dict | None = None
-        self.settled = Event()
+        self.kv_cache: dict | None = None
+        self.has_result = Event()
         self.stopped = False
 
-    def settle(self, tokens: list[str] | None, blob: dict | None = None) -> None:
+    def set_result(
+        self, tokens: list[str] | None, kv_cache: dict | None = None
+    ) -> None:
         """Note what the server gave up, or with ``None`` that it did not answer."""
         self.stopped = tokens is not None
         self.tokens = tokens or []
-        self.blob = blob
-        self.settled.set()
+        self.kv_cache = kv_cache
+        self.has_result.set()
 
     def wait(self) -> bool:
         """Return whether the server confirmed that the stream stopped there."""
-        return self.settled.wait(MOVE_TIMEOUT_S) and self.stopped
+        return self.has_result.wait(MOVE_TIMEOUT_S) and self.stopped
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -390,7 +390,7 @@
             f"stopped at {self.record.servers[-1]} for a move, with "
             f"{len(pending_move.tokens)} tokens{' and the KV cache' if pending_move.kv_cache else ''}"
         )
-        self.context.dispatcher.moved(self.ticket, len(self.record.tokens))
+        self.context.dispatcher.requeue_moved(self.ticket, len(self.record.tokens))
         return True
 
     def _decide_retry(self, error: BackendError) -> None:
--- a/packages/endive_node/src/endive_node/stream_mover.py
+++ b/packages/endive_node/src/endive_node/stream_mover.py
@@ -14,7 +14,7 @@
 from endive_node.runs import Run
 from endive_node.serving import Serving
 
-AT_ONCE = 8
+MAX_CONCURRENT_EXPORTS = 8
 """Exports under way at one server: its network is shared by all, so more of them
 would only make the dearest one wait for the others."""
 
@@ -47,14 +47,14 @@
             if self.serving.handing_over:
                 continue
             if self.notices.notice_for(server.id, server.zone) is notice:
-                gevent.spawn(self.empty, server, notice)
+                gevent.spawn(self.move_streams, server, notice)
 
     def mark_leaving_servers(self) -> list[ServerView]:
         """Take all servers under notice out of the choice; return them."""
         found = []
         for server in list(self._servers()):
             if self.notices.notice_for(server.id, server.zone) is not None:
-                self.dispatcher.leave(server.id)
+                self.dispatcher.exclude_server(server.id)
                 found.append(server)
         return found
 
@@ -62,46 +62,48 @@
         for views in self.dispatcher.servers.values():
             yield from views.values()
 
-    def empty(self, server: ServerView, notice: Notice) -> None:
+    def move_streams(self, server: ServerView, notice: Notice) -> None:
         """Move what runs at `server`; the body of a greenlet."""
         left_s = notice.ends_at - self.serving.clock.now()
         runs = {
             run.ticket: run
             for run in self.serving.registry.unfinished()
-            if at(run, server)
+            if is_streaming_from(run, server)
         }
         for ticket, run in runs.items():
             ticket.tokens = len(run.record.tokens)
         moves = self.dispatcher.plan_moves(server, seconds_left=left_s)
-        moving = [s for s in moves if s.method is not MoveMethod.FINISH]
+        to_stop = [s for s in moves if s.method is not MoveMethod.FINISH]
         log_event(
-            "server_leaving", server=server.id, streams=len(runs), moving=len(moving)
+            "server_leaving", server=server.id, streams=len(runs), to_stop=len(to_stop)
         )
-        pool = Pool(AT_ONCE)
-        for shift in moving:
-            if shift.ticket in runs:
-                pool.spawn(self.move, runs[shift.ticket], server, shift.method)
+        pool = Pool(MAX_CONCURRENT_EXPORTS)
+        for move in to_stop:
+            if move.ticket in runs:
+                pool.spawn(self.move_stream, runs[move.ticket], server, move.method)
         pool.join()
 
-    def move(self, run: Run, server: ServerView, method: MoveMethod) -> None:
+    def move_stream(self, run: Run, server: ServerView, method: MoveMethod) -> None:
         """Stop one stream at `server`; its driver goes on elsewhere."""
-        if not at(run, server):
+        if not is_streaming_from(run, server):
             return
-        move = run.pending_move = PendingMove()
+        pending_move = run.pending_move = PendingMove()
         request_id = run.record.request.request_id
         exported = None
         if method is MoveMethod.EXPORT:
             exported = run.backend.export_kv(request_id)
         if exported is not None:
             self.exported.add(1)
-            move.settle(*exported)
+            pending_move.set_result(*exported)
         else:
             self.resumed.add(1)
-            move.settle(run.backend.cancel(request_id))
-        log_event("stream_moved", request_id=request_id, tokens=len(move.tokens))
+            pending_move.set_result(run.backend.cancel(request_id))
+        log_event(
+            "stream_moved", request_id=request_id, tokens=len(pending_move.tokens)
+        )
 
 
-def at(run: Run, server: ServerView) -> bool:
+def is_streaming_from(run: Run, server: ServerView) -> bool:
     """Return whether an engine's attempt of `run` is under way at `server`."""
     return (
         run.driving
--- a/packages/endive_node/src/endive_node/waiters.py
+++ b/packages/endive_node/src/endive_node/waiters.py
@@ -44,14 +44,14 @@
         self.waiting: dict[Ticket, AsyncResult] = {}
         self.queued = Event()
 
-    def enter(self, verdict: Ticket | Refusal, scheduler: Scheduler) -> Ticket:
+    def enter(self, decision: Ticket | Refusal, scheduler: Scheduler) -> Ticket:
         """Let an admitted request wait; raises EndiveError if it was refused."""
-        if isinstance(verdict, Refusal):
-            raise refusal_error(verdict)
-        self.owners[verdict] = scheduler
-        self.waiting[verdict] = AsyncResult()
+        if isinstance(decision, Refusal):
+            raise refusal_error(decision)
+        self.owners[decision] = scheduler
+        self.waiting[decision] = AsyncResult()
         self.pump(scheduler)
-        return verdict
+        return decision
 
     def acquire(self, ticket: Ticket) -> ServerView:
         """Wait for the server of the ticket's next attempt.
