--- a/packages/endive_node/src/endive_node/backends.py
+++ b/packages/endive_node/src/endive_node/backends.py
@@ -17,10 +17,10 @@
 EVENT_START = b"data: "
 DONE = b"[DONE]"
 READ_BYTES = 65_536
-ORDER_TIMEOUT_S = 1.0
+COMMAND_TIMEOUT_S = 1.0
 """Time-out of an order about one stream: a notice lasts about three seconds."""
 
-END_OF_ANSWER_S = 0.05
+RESPONSE_END_TIMEOUT_S = 0.05
 """Engines write the end together with the last piece; waiting longer than this costs
 more than a new connection."""
 
@@ -130,7 +130,7 @@
         """
         for _ in range(LISTEN_CHECKS):
             try:
-                self.fetch_json(address, "/load", timeout=ORDER_TIMEOUT_S)
+                self.fetch_json(address, "/load", timeout=COMMAND_TIMEOUT_S)
             except CONNECT_ERRORS:
                 return False
             except urllib3.exceptions.TimeoutError:
@@ -196,7 +196,7 @@
 
         If this server can't take it in, it computes prompt and tokens again.
         """
-        answer = self._order("/kv/import", {"blob": blob})
+        answer = self._send_command("/kv/import", {"blob": blob})
         self.kv_handle = None if answer is None else answer["kv_handle"]
 
     def export_kv(self, request_id: str) -> tuple[list[str], dict] | None:
@@ -204,24 +204,24 @@
 
         ``None`` if the server didn't confirm that it stopped.
         """
-        answer = self._order("/kv/export", {"request_id": request_id})
+        answer = self._send_command("/kv/export", {"request_id": request_id})
         return None if answer is None else (answer["tokens"], answer["blob"])
 
     def cancel(self, request_id: str) -> list[str] | None:
         """Stop a request; return its tokens, or ``None`` if that isn't confirmed."""
-        answer = self._order("/cancel", {"request_id": request_id})
+        answer = self._send_command("/cancel", {"request_id": request_id})
         if answer is None or not answer["stopped"]:
             return None
         return answer["tokens"]
 
-    def _order(self, path: str, body: dict) -> dict | None:
+    def _send_command(self, path: str, body: dict) -> dict | None:
         try:
             response = self.clients.pool.request(
                 "POST",
                 f"http://{self.address}{path}",
                 body=msgspec.json.encode(body),
                 headers={"Content-Type": "application/json"},
-                timeout=ORDER_TIMEOUT_S,
+                timeout=COMMAND_TIMEOUT_S,
             )
             value = msgspec.json.decode(response.data)
         except (urllib3.exceptions.HTTPError, OSError, msgspec.DecodeError):
@@ -244,13 +244,13 @@
                     str(error), started=True, reason=RetryReason.SERVER_FAILED
                 ) from None
         finally:
-            self._give_back(finished)
+            self._release_connection(finished)
         if not finished:
             raise BackendError(
                 "the stream ended early", started=True, reason=RetryReason.SERVER_FAILED
             )
 
-    def _give_back(self, finished: bool) -> None:
+    def _release_connection(self, finished: bool) -> None:
         """Keep the connection for the next call, if the server has ended its answer.
 
         What follows the last piece must be read, or the next call finds unread bytes
@@ -264,7 +264,7 @@
 
     def _drain(self) -> None:
         """Read the answer's end and keep the connection, or give it up."""
-        with gevent.Timeout(END_OF_ANSWER_S, False):
+        with gevent.Timeout(RESPONSE_END_TIMEOUT_S, False):
             self.response.drain_conn()
             self.response.release_conn()
             return
@@ -307,12 +307,12 @@
         raise BackendError(
             "the server is busy", started=False, reason=RetryReason.SERVER_BUSY
         )
-    final = response.status if 400 <= response.status < 500 else None
+    rejection_status = response.status if 400 <= response.status < 500 else None
     raise BackendError(
         f"the server answered {response.status}",
-        started=final is None,
+        started=rejection_status is None,
         reason=RetryReason.SERVER_FAILED,
-        final_status=final,
+        final_status=rejection_status,
     )
 
 
--- a/packages/endive_node/src/endive_node/callers.py
+++ b/packages/endive_node/src/endive_node/callers.py
@@ -52,7 +52,7 @@
             self.call_service,
         )
         route("/healthz", "GET", self.health)
-        self.app.default_error_handler = self.answer_http_error
+        self.app.default_error_handler = self.handle_http_error
 
     def models(self):
         """List the models that callers may ask for, as their client libraries do."""
@@ -73,21 +73,21 @@
         """Answer a completion or a chat."""
         run = None
         try:
-            run = self.serving.accept(self._generation_request(endpoint))
-            return self._answer(run, start=0)
+            run = self.serving.accept(self._completion_request(endpoint))
+            return self._respond(run, start=0)
         except EndiveError as error:
-            return self._refuse(error, request_id=id_of(run))
+            return self._refuse(error, request_id=request_id_of(run))
 
     def resume(self, request_id: str):
         """Go on with an answer from the index in ``Last-Event-ID`` or ``from``."""
         try:
             organisation = self._organisation()
-            run = self._run_of(organisation, request_id)
-            return self._answer(run, start=self._start_index())
+            run = self._find_run(organisation, request_id)
+            return self._respond(run, start=self._start_index())
         except EndiveError as error:
             return self._refuse(error, request_id=request_id)
 
-    def _run_of(self, organisation: str, request_id: str):
+    def _find_run(self, organisation: str, request_id: str):
         run = self.serving.registry.get(request_id)
         if run is not None and run.record.request.organisation != organisation:
             run = None
@@ -107,7 +107,7 @@
             for _ in run.read():
                 pass
         except EndiveError as error:
-            return self._refuse(error, request_id=id_of(run))
+            return self._refuse(error, request_id=request_id_of(run))
         return plain_response(run.record)
 
     def health(self):
@@ -118,7 +118,7 @@
             return "not ready\n"
         return "ok\n"
 
-    def answer_http_error(self, error: bottle.HTTPError) -> bytes:
+    def handle_http_error(self, error: bottle.HTTPError) -> bytes:
         """Answer what bottle itself refuses, in the shape of all other errors."""
         return http_error_body(error)
 
@@ -145,7 +145,7 @@
             raise too_large
         return data
 
-    def _generation_request(self, endpoint: Endpoint) -> Request:
+    def _completion_request(self, endpoint: Endpoint) -> Request:
         organisation = self._organisation()
         body = parse_body(endpoint, self._read_body())
         return Request(
@@ -212,7 +212,7 @@
             )
         return int(text)
 
-    def _answer(self, run: Run, *, start: int):
+    def _respond(self, run: Run, *, start: int):
         request = run.record.request
         bottle.response.set_header("X-Request-Id", request.request_id)
         if not request.stream:
@@ -221,7 +221,7 @@
             if request.endpoint is Endpoint.SERVICE:
                 return plain_response(run.record)
             bottle.response.content_type = "application/json"
-            return encode_json(whole_answer(run.record))
+            return encode_json(response_body(run.record))
         batches = run.read(start)
         first = next(batches, None)
         bottle.response.content_type = EVENT_STREAM
@@ -233,7 +233,7 @@
         return error_response(error, request_id)
 
 
-def id_of(run: Run | None) -> str:
+def request_id_of(run: Run | None) -> str:
     """Return the id under which a caller can come back, if the call was accepted."""
     return "" if run is None else run.record.request.request_id
 
@@ -279,21 +279,21 @@
     return encode_json(EndiveError(kind, message).to_body())
 
 
-def answer_id(request: Request) -> str:
+def response_id(request: Request) -> str:
     """Return the id that an answer carries, as callers of this API expect it."""
     return ID_PREFIXES[request.endpoint] + request.request_id
 
 
 def plain_response(record: RequestRecord) -> bytes:
     """Set status and headers of a plain service's answer; return its body."""
-    answer = record.plain_response
-    bottle.response.status = answer.status
-    bottle.response.content_type = answer.content_type
+    response = record.plain_response
+    bottle.response.status = response.status
+    bottle.response.content_type = response.content_type
     bottle.response.set_header("X-Request-Id", record.request.request_id)
-    return answer.body
+    return response.body
 
 
-def whole_answer(record: RequestRecord) -> dict:
+def response_body(record: RequestRecord) -> dict:
     """Return the body of an answer that is not streamed."""
     request = record.request
     text = "".join(record.tokens)
@@ -303,7 +303,7 @@
     else:
         choice["text"] = text
     return {
-        "id": answer_id(request),
+        "id": response_id(request),
         "object": OBJECT_NAMES[request.endpoint][0],
         "created": int(time.time()),
         "model": request.model,
@@ -326,7 +326,7 @@
     def __init__(self, request: Request) -> None:
         self.chat = request.endpoint is Endpoint.CHAT
         head = {
-            "id": answer_id(request),
+            "id": response_id(request),
             "object": OBJECT_NAMES[request.endpoint][1],
             "created": int(time.time()),
             "model": request.model,
--- a/packages/endive_node/src/endive_node/request_lookup.py
+++ b/packages/endive_node/src/endive_node/request_lookup.py
@@ -23,15 +23,15 @@
 LOOKUP_TIMEOUT_S = 0.5
 """A lookup asks nodes that may be dead; a live one answers in milliseconds."""
 
-WIDER_CANDIDATES = 8
+MORE_LOOKUP_CANDIDATES = 8
 """Asked when the likely ones do not know it: after a zone's worth of nodes has been
 replaced, more than two new ones may come before the holder in the order."""
 
 PAGE_WAIT_S = 1.0
-LOST_AFTER_S = 4.0
+HOLDER_SEARCH_TIMEOUT_S = 4.0
 """How long a holder that went silent is looked for: a notice's few seconds."""
 
-RETRY_S = 0.1
+HOLDER_SEARCH_PAUSE_S = 0.1
 
 
 class Locator:
@@ -64,17 +64,20 @@
         return self._find(Lookup(organisation, "", route, key))
 
     def _find(self, lookup: "Lookup") -> "RemoteRun | None":
-        found = self.holder(lookup)
+        found = self.find_holder(lookup)
         return None if found is None else RemoteRun(self, lookup, *found)
 
-    def holder(self, lookup: "Lookup"):
+    def find_holder(self, lookup: "Lookup"):
         """Return (address, first page) of the node that holds the request, or ``None``.
 
         All candidates are asked at once, since a dead one costs a time-out.
         """
         order = self._candidates(lookup)
-        for asked in (order[: LOOKUP_CANDIDATES + 1], order[LOOKUP_CANDIDATES + 1 :]):
-            found = self._ask_all(asked[:WIDER_CANDIDATES], lookup)
+        for addresses in (
+            order[: LOOKUP_CANDIDATES + 1],
+            order[LOOKUP_CANDIDATES + 1 :],
+        ):
+            found = self._query_all(addresses[:MORE_LOOKUP_CANDIDATES], lookup)
             if found is not None:
                 return found
         return None
@@ -95,18 +98,18 @@
         addresses = [member.peer_address for member in first + order]
         return list(dict.fromkeys(addresses))
 
-    def _ask_all(self, addresses: list[str], lookup: "Lookup"):
-        jobs = [gevent.spawn(self._ask, address, lookup) for address in addresses]
+    def _query_all(self, addresses: list[str], lookup: "Lookup"):
+        jobs = [gevent.spawn(self._query, address, lookup) for address in addresses]
         for job in gevent.iwait(jobs):
             if job.value is not None:
                 gevent.killall(jobs, block=False)
                 return job.value
         return None
 
-    def _ask(self, address: str, lookup: "Lookup"):
-        seen = set()
-        while address and address not in seen:
-            seen.add(address)
+    def _query(self, address: str, lookup: "Lookup"):
+        queried = set()
+        while address and address not in queried:
+            queried.add(address)
             client = PeerClient(address, LOOKUP_TIMEOUT_S)
             try:
                 page = client.call("read_answer", *lookup.arguments(0, 0.0))
@@ -154,7 +157,7 @@
         lookup.request_id = head.request_id
         lookup.route = route_in(head.request_id)
         self.record = RequestRecord(head, locator.clock.now())
-        self._take(page)
+        self._append_page(page)
 
     @property
     def not_run(self) -> bool:
@@ -171,11 +174,11 @@
             Where the answer ends in an error, or no node holds it any more.
         """
         try:
-            yield from read_tokens(self.record, start, self._read_on)
+            yield from read_tokens(self.record, start, self._read_next_page)
         finally:
-            self._hang_up()
+            self._close_connection()
 
-    def _read_on(self) -> None:
+    def _read_next_page(self) -> None:
         """Take the next page from the holder, or look for a new holder."""
         arguments = self.lookup.arguments(len(self.record.tokens), PAGE_WAIT_S)
         try:
@@ -184,29 +187,29 @@
         except (PeerUnavailableError, IDL.PeerError):
             page = None
         if page is not None and page.known and not page.moved_to:
-            self._take(page)
+            self._append_page(page)
             return
-        self._hang_up()
-        self._find_again()
+        self._close_connection()
+        self._find_new_holder()
 
-    def _hang_up(self) -> None:
+    def _close_connection(self) -> None:
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
-    def _find_again(self) -> None:
+    def _find_new_holder(self) -> None:
         """Look for the holder anew: it was reclaimed in its turn, or has died."""
-        deadline = self.locator.clock.now() + LOST_AFTER_S
-        while (found := self.locator.holder(self.lookup)) is None:
+        deadline = self.locator.clock.now() + HOLDER_SEARCH_TIMEOUT_S
+        while (found := self.locator.find_holder(self.lookup)) is None:
             if self.locator.clock.now() > deadline:
                 raise EndiveError(
                     ErrorKind.UNKNOWN_REQUEST,
                     "the node that held the request is gone; send it again",
                 )
-            gevent.sleep(RETRY_S)
+            gevent.sleep(HOLDER_SEARCH_PAUSE_S)
         self.address = found[0]
 
-    def _take(self, page) -> None:
+    def _append_page(self, page) -> None:
         record = self.record
         record.tokens += page.tokens
         record.finish_reason = page.finish_reason
@@ -221,7 +224,7 @@
 def answer_page(run, start: int, moved_to: str = ""):
     """Return the part of a run's answer from index `start` on."""
     record = run.record
-    answer, error = record.plain_response, record.error
+    response, error = record.plain_response, record.error
     head = b"" if start else msgspec.msgpack.encode(run.head())
     return IDL.AnswerPage(
         known=True,
@@ -231,7 +234,7 @@
         finish_reason=record.finish_reason,
         error_kind=str(error.kind) if error else "",
         error_message=error.message if error else "",
-        status=answer.status if answer else 0,
-        content_type=answer.content_type if answer else "",
-        body=answer.body if answer else b"",
+        status=response.status if response else 0,
+        content_type=response.content_type if response else "",
+        body=response.body if response else b"",
     )
--- a/packages/endive_node/tests/test_backends.py
+++ b/packages/endive_node/tests/test_backends.py
@@ -67,7 +67,7 @@
 def given_back(response, *, finished=True):
     engine = clients().engine("127.0.0.1:1")
     engine.response = response
-    engine._give_back(finished)
+    engine._release_connection(finished)
     assert "released" not in response.done
     gevent.sleep(0.2)
     return response.done
