--- a/packages/endive_node/src/endive_node/claiming.py
+++ b/packages/endive_node/src/endive_node/claiming.py
@@ -35,13 +35,13 @@
 from endive_node.shards import ShardWriter, log_unavailable
 from endive_node.telemetry import Metrics
 
-AVOID_S = 2.0
+WRITER_BACKOFF_S = 2.0
 """How long a writer that did not answer is passed over, so that a paused node costs
 one claim a time-out and not each."""
 
 OWN_RELEASE_RETRY_S = 0.1
-CONNECTIONS_KEPT = 8
-WRITERS_ASKED = 2
+MAX_IDLE_CONNECTIONS = 8
+MAX_REMOTE_WRITERS = 2
 """Other nodes that are asked before a node appends its claim itself."""
 
 CLOCK_SKEW_S = 60.0
@@ -71,7 +71,7 @@
         self.settings = settings
         self.metrics = metrics
         self.writers: dict[int, ShardWriter] = {}
-        self.avoided: dict[str, float] = {}
+        self.backoff_until: dict[str, float] = {}
         self.connections: dict[str, list[PeerConnection]] = {}
         self.wall_time = time.time
         self.won = metrics.counter("endive_claims_won")
@@ -124,7 +124,7 @@
                     holder_request_id=holder.request_id if holder else "",
                     holder_node=holder.node if holder else "",
                 )
-                raise lost_error(request, holder)
+                raise claim_lost_error(request, holder)
             # An earlier try of this same request was withdrawn, here or at the node
             # that handed it over, and its release is still on its way.
             gevent.sleep(OWN_RELEASE_RETRY_S)
@@ -162,31 +162,35 @@
     def _decide(self, claim: Claim, deadline: float) -> ClaimOutcome:
         shard = claim_shard(claim.key)
         for member in self._candidates(shard):
-            left = deadline - self.clock.now()
-            if left <= 0:
+            remaining_s = deadline - self.clock.now()
+            if remaining_s <= 0:
                 break
             if member.id == self.node_id:
-                return self.writer(shard).decide(claim, left)
+                return self.writer(shard).decide(claim, remaining_s)
             try:
-                return self._ask(member, claim, min(left, self.settings.peer_timeout_s))
+                return self._decide_remotely(
+                    member, claim, min(remaining_s, self.settings.peer_timeout_s)
+                )
             except PeerUnavailableError as error:
                 log_event("claim_writer_silent", peer=member.id, error=error)
-                self.avoided[member.id] = self.clock.now() + AVOID_S
+                self.backoff_until[member.id] = self.clock.now() + WRITER_BACKOFF_S
         raise log_unavailable("no node could write the claim in time")
 
     def _candidates(self, shard: int) -> list[Member]:
         """Return whom to ask: the shard's writer, the next one, then this node."""
         now = self.clock.now()
         live = {member.id: member for member in self.members.live()}
-        found: list[Member] = []
+        candidates: list[Member] = []
         for name in rendezvous_order(f"claims {shard}", live):
-            if name == self.node_id or len(found) == WRITERS_ASKED:
+            if name == self.node_id or len(candidates) == MAX_REMOTE_WRITERS:
                 break
-            if self.avoided.get(name, 0.0) <= now:
-                found.append(live[name])
-        return [*found, Member(self.node_id, "", "")]
+            if self.backoff_until.get(name, 0.0) <= now:
+                candidates.append(live[name])
+        return [*candidates, Member(self.node_id, "", "")]
 
-    def _ask(self, member: Member, claim: Claim, timeout_s: float) -> ClaimOutcome:
+    def _decide_remotely(
+        self, member: Member, claim: Claim, timeout_s: float
+    ) -> ClaimOutcome:
         try:
             answer = self._call(member, "claim", timeout_s, encode(claim))
         except IDL.PeerError as error:
@@ -200,15 +204,15 @@
         A kept connection may long be closed at the other end, which shows only when
         it is used; claims and releases can be sent twice, so a new one is tried.
         """
-        kept = self.connections.setdefault(member.peer_address, [])
+        idle = self.connections.setdefault(member.peer_address, [])
         with time_limit(timeout_s):
-            while kept:
+            while idle:
                 with contextlib.suppress(PeerUnavailableError):
-                    return self._call_over(kept.pop(), kept, method, arguments)
+                    return self._call_on(idle.pop(), idle, method, arguments)
             connection = PeerConnection(member.peer_address, self.settings.timeout_s)
-            return self._call_over(connection, kept, method, arguments)
+            return self._call_on(connection, idle, method, arguments)
 
-    def _call_over(self, connection: PeerConnection, kept, method: str, arguments):
+    def _call_on(self, connection: PeerConnection, idle, method: str, arguments):
         usable = False
         try:
             answer = connection.call(method, *arguments)
@@ -218,8 +222,8 @@
             usable = True
             raise
         finally:
-            if usable and len(kept) < CONNECTIONS_KEPT:
-                kept.append(connection)
+            if usable and len(idle) < MAX_IDLE_CONNECTIONS:
+                idle.append(connection)
             else:
                 connection.close()
 
@@ -239,7 +243,7 @@
                 return
             except (PeerUnavailableError, IDL.PeerError) as error:
                 log_event("release_writer_silent", peer=member.id, error=error)
-                self.avoided[member.id] = self.clock.now() + AVOID_S
+                self.backoff_until[member.id] = self.clock.now() + WRITER_BACKOFF_S
 
     # For other nodes
 
@@ -292,7 +296,7 @@
     return f"{key}#{continues}" if continues else key
 
 
-def lost_error(request: Request, holder: Claim | None) -> EndiveError:
+def claim_lost_error(request: Request, holder: Claim | None) -> EndiveError:
     """Return the answer to a request whose key another one holds."""
     if holder is not None and holder.fingerprint != request.fingerprint:
         return EndiveError(
--- a/packages/endive_node/src/endive_node/shards.py
+++ b/packages/endive_node/src/endive_node/shards.py
@@ -23,7 +23,7 @@
 MAX_BATCH = 500
 """Records of one append: about 120 kB, a few milliseconds at the log."""
 
-RETRY_S = 0.2
+LOG_RETRY_PAUSE_S = 0.2
 
 
 class ShardWriter:
@@ -51,12 +51,12 @@
         self.stream = claim_stream(shard)
         self.log = log
         self.clock = clock
-        self.gap_s = CLAIM_SHARDS / settings.appends_per_s
+        self.append_interval_s = CLAIM_SHARDS / settings.appends_per_s
         self.table = ClaimTable(settings.window_s)
         self.pending: dict[str, str] = {}
         self.waiting: dict[str, list[AsyncResult]] = {}
         self.wake = Event()
-        self.last_append = -self.gap_s
+        self.last_append = -self.append_interval_s
         self.appends = metrics.counter("endive_claim_appends")
         self.appended = metrics.counter("endive_claim_records_appended")
         self.greenlet: gevent.Greenlet | None = None
@@ -72,7 +72,7 @@
         """
         result = AsyncResult()
         self.waiting.setdefault(claim.claim_id, []).append(result)
-        self._put(claim.claim_id, encode(claim))
+        self._enqueue(claim.claim_id, encode(claim))
         try:
             return result.get(timeout=timeout_s)
         except gevent.Timeout:
@@ -81,18 +81,18 @@
             self._stop_waiting(claim.claim_id, result)
 
     def _stop_waiting(self, claim_id: str, result: AsyncResult) -> None:
-        left = [r for r in self.waiting.get(claim_id, ()) if r is not result]
-        if left:
-            self.waiting[claim_id] = left
+        remaining = [r for r in self.waiting.get(claim_id, ()) if r is not result]
+        if remaining:
+            self.waiting[claim_id] = remaining
             return
         self.waiting.pop(claim_id, None)
         self.pending.pop(claim_id, None)
 
     def release(self, release: Release) -> None:
         """Append `release` as soon as the log takes it."""
-        self._put(f"release {release.claim_id}", encode(release))
+        self._enqueue(f"release {release.claim_id}", encode(release))
 
-    def _put(self, name: str, text: str) -> None:
+    def _enqueue(self, name: str, text: str) -> None:
         self.pending[name] = text
         self.wake.set()
         if not self.greenlet:
@@ -103,7 +103,9 @@
             self.wake.wait()
             self.wake.clear()
             while self.pending:
-                gevent.sleep(self.last_append + self.gap_s - self.clock.now())
+                gevent.sleep(
+                    self.last_append + self.append_interval_s - self.clock.now()
+                )
                 self._append_and_read()
 
     def _append_and_read(self) -> None:
@@ -116,24 +118,24 @@
         except LogThrottledError:
             return
         except LogUnavailableError as error:
-            self._refuse(batch, str(error))
-            gevent.sleep(RETRY_S)
+            self._fail_batch(batch, str(error))
+            gevent.sleep(LOG_RETRY_PAUSE_S)
             return
         except LogOutcomeUnknownError as error:
             # The records may be there, may still come, or never. What the read below
             # does not find is appended again: the first copy decides.
             log_event("claim_append_uncertain", stream=self.stream, error=error)
             self._read_to(0)
-            self._settle()
+            self._deliver_outcomes()
             return
         self.appends.add(1)
         self.appended.add(len(batch))
         for name in batch:
             self.pending.pop(name, None)
         self._read_to(end)
-        self._settle()
+        self._deliver_outcomes()
 
-    def _refuse(self, batch: dict[str, str], reason: str) -> None:
+    def _fail_batch(self, batch: dict[str, str], reason: str) -> None:
         """Tell those who wait that the log took nothing; releases are kept."""
         for name in batch.keys() & self.waiting.keys():
             for result in self.waiting[name]:
@@ -154,14 +156,14 @@
                 log_event("claim_read_failed", stream=self.stream, error=error)
                 if end == 0:
                     return
-                gevent.sleep(RETRY_S)
+                gevent.sleep(LOG_RETRY_PAUSE_S)
                 continue
             for entry in page.entries:
-                self._fold(entry)
+                self._apply_entry(entry)
             if self.table.offset + 1 >= max(end, page.next):
                 return
 
-    def _fold(self, entry) -> None:
+    def _apply_entry(self, entry) -> None:
         try:
             record = decode(entry.body)
         except RecordError as error:
@@ -171,7 +173,7 @@
             self.table.apply(entry.offset, entry.time, record)
         self.table.offset = entry.offset
 
-    def _settle(self) -> None:
+    def _deliver_outcomes(self) -> None:
         for claim_id, results in list(self.waiting.items()):
             outcome = self.table.outcome(claim_id)
             if outcome is not None:
