--- a/packages/endive_node/src/endive_node/pending_moves.py
+++ b/packages/endive_node/src/endive_node/pending_moves.py
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self.tokens: list[str] = []
         self.kv_cache: dict | None = None
-        self.has_result = Event()
+        self.done = Event()
         self.stopped = False
 
     def set_result(
@@ -29,8 +29,8 @@
         self.stopped = tokens is not None
         self.tokens = tokens or []
         self.kv_cache = kv_cache
-        self.has_result.set()
+        self.done.set()
 
     def wait(self) -> bool:
         """Return whether the server confirmed that the stream stopped there."""
-        return self.has_result.wait(MOVE_TIMEOUT_S) and self.stopped
+        return self.done.wait(MOVE_TIMEOUT_S) and self.stopped
--- a/packages/endive_node/src/endive_node/request_traces.py
+++ b/packages/endive_node/src/endive_node/request_traces.py
@@ -64,9 +64,9 @@
     memory: a trail is about 1 kB, and 5,000 of them are the last minute at the peak.
     """
 
-    def __init__(self, clock: Clock, max_trails: int) -> None:
+    def __init__(self, clock: Clock, max_traces: int) -> None:
         self.clock = clock
-        self.max_trails = max_trails
+        self.max_traces = max_traces
         self.traces_by_id: OrderedDict[str, RequestTrace] = OrderedDict()
 
     def get_or_create(self, request: Request) -> RequestTrace:
@@ -77,7 +77,7 @@
                 request.request_id, request.organisation, request.model, self.clock
             )
             self.traces_by_id[request.request_id] = trace
-            if len(self.traces_by_id) > self.max_trails:
+            if len(self.traces_by_id) > self.max_traces:
                 self.traces_by_id.popitem(last=False)
         return trace
 
--- a/packages/endive_node/src/endive_node/stream_mover.py
+++ b/packages/endive_node/src/endive_node/stream_mover.py
@@ -75,7 +75,7 @@
         moves = self.dispatcher.plan_moves(server, seconds_left=left_s)
         to_stop = [s for s in moves if s.method is not MoveMethod.FINISH]
         log_event(
-            "server_leaving", server=server.id, streams=len(runs), to_stop=len(to_stop)
+            "server_leaving", server=server.id, streams=len(runs), moving=len(to_stop)
         )
         pool = Pool(MAX_CONCURRENT_EXPORTS)
         for move in to_stop:
