--- a/packages/endive_node/src/endive_node/attempts.py
+++ b/packages/endive_node/src/endive_node/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one server, and the pieces of its answer."""
+"""One attempt of a request at one server, and the pieces that it returns."""
 
 from collections.abc import Iterator
 from typing import Protocol
@@ -15,18 +15,18 @@
 from endive_node.request_traces import RequestTrace
 
 CANCELLED = "cancelled"
-"""The reason with which an engine ends a sequence that it was told to stop."""
+"""Finish reason of a sequence that an engine stopped on request."""
 
 
 class AttemptedRun(Protocol):
-    """What an attempt needs of its request.
+    """The parts of a run that its attempts use.
 
     Attributes
     ----------
     backend : EngineServer or None
-        The server that streams the answer, for whoever stops it there.
-    blob : dict or None
-        KV cache that a move took from the last server.
+        The server that streams the response, so that the stream can be stopped there.
+    kv_cache : dict or None
+        KV cache that a move exported from the previous server.
     """
 
     context: RunContext
@@ -39,14 +39,14 @@
 
 
 class RunAttempt:
-    """One attempt at one server; raises BackendError where it gives no whole answer."""
+    """One attempt at one server; raises BackendError if the response is incomplete."""
 
     def __init__(self, run: AttemptedRun, server: ServerView) -> None:
         self.run = run
         self.server = server
 
     def steps(self) -> Iterator[None]:
-        """Make the attempt; yield after each batch of pieces."""
+        """Run the attempt; yield after each batch of pieces."""
         if self.run.record.request.endpoint is Endpoint.SERVICE:
             self._call_service()
         else:
@@ -75,7 +75,7 @@
         for pieces in batches:
             if pieces[-1].finish_reason == CANCELLED:
                 raise BackendError(
-                    "the server was told to stop",
+                    "the server stopped the stream on request",
                     started=True,
                     reason=RetryReason.SERVER_LEAVING,
                     stopped=True,
@@ -87,7 +87,7 @@
             yield
         if not record.finish_reason:
             raise BackendError(
-                "pieces are missing",
+                "stream ended with pieces missing",
                 started=True,
                 reason=RetryReason.SERVER_FAILED,
             )
--- a/packages/endive_node/src/endive_node/contexts.py
+++ b/packages/endive_node/src/endive_node/contexts.py
@@ -1,4 +1,4 @@
-"""What each request of a node is given on its way."""
+"""The parts of a node that its runs share."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunContext:
-    """The parts of a node that a run calls."""
+    """The parts of a node that each run calls."""
 
     node_id: str
     dispatcher: Dispatcher
--- a/packages/endive_node/src/endive_node/dispatching.py
+++ b/packages/endive_node/src/endive_node/dispatching.py
@@ -1,7 +1,7 @@
-"""Where a request waits for a server, and which server it gets.
+"""Queueing of requests, and placement of their attempts on backend servers.
 
-The decisions are made by :mod:`endive_core.scheduler`; this module gives it randomness
-and what the configuration declares.
+The decisions are made by :mod:`endive_core.scheduler`; this module supplies it with
+time, random numbers and the declared configuration.
 """
 
 import random
@@ -31,11 +31,10 @@
 
 
 class Dispatcher(Waiters):
-    """Admits each request, and gives each of its attempts a server.
+    """Admits requests, and assigns a server to each of their attempts.
 
-    The serving path meets it as :meth:`admit` when a request comes in, then `acquire`,
-    `started` and `finished` or :meth:`failed` for each attempt, and `end` whatever
-    happened.
+    A request calls :meth:`admit` on arrival; `acquire`, `started` and then `finished`
+    or :meth:`failed` for each attempt; and `end` in every case.
     """
 
     def __init__(
@@ -62,10 +61,10 @@
         self.nodes = 1
         self.servers: dict[str, dict[str, ServerView]] = {}
 
-    # What the configuration and the membership say
+    # Configuration and membership
 
     def refresh(self) -> None:
-        """Take over what the configuration now declares."""
+        """Apply the services and servers that the configuration now declares."""
         services = self.catalogue.services
         for removed in self.schedulers.keys() - services.keys():
             scheduler = self.schedulers.pop(removed)
@@ -98,27 +97,34 @@
         )
 
     def set_nodes(self, nodes: int) -> None:
-        """Take over the number of live nodes, this one included."""
+        """Set the number of live nodes, this one included."""
         self.nodes = nodes
         for scheduler in self.schedulers.values():
             scheduler.set_nodes(nodes)
 
     def exclude_server(self, server_id: str) -> None:
-        """Give a server that is being reclaimed no new work."""
+        """Assign no further attempts to a server that is being reclaimed."""
         for scheduler in self.schedulers.values():
             scheduler.leaving(server_id)
 
     def service_of(self, request: Request) -> str:
-        """Return the backend server service that answers `request`."""
+        """Return the backend server service that serves `request`.
+
+        Raises
+        ------
+        EndiveError
+            ``not_found`` if no such service is declared.
+        """
         if request.endpoint is Endpoint.SERVICE:
             if request.model not in self.catalogue.services:
                 raise EndiveError(
-                    ErrorKind.NOT_FOUND, f"no service is called {request.model!r}"
+                    ErrorKind.NOT_FOUND,
+                    f"no service named {request.model!r} is declared",
                 )
             return request.model
         return self.catalogue.deployment_for(request.model)[1].service
 
-    # One request's way
+    # Requests
 
     def admit(self, request: Request) -> Ticket:
         """Admit `request` into its service's queue.
@@ -126,27 +132,31 @@
         Raises
         ------
         EndiveError
-            If it is refused, with an honest time to come back.
+            If it is refused, with a realistic retry-after time where there is one.
         """
         service = self.service_of(request)
         scheduler = self.schedulers.get(service)
         if scheduler is None:
-            raise EndiveError(ErrorKind.NO_SERVER, f"no server of {service!r} is known")
+            raise EndiveError(
+                ErrorKind.NO_SERVER, f"no server of service {service!r} is known"
+            )
         decision = scheduler.offer(self._call(request, service), self.clock.now())
         return self.enter(decision, scheduler)
 
     def take_over(self, request: Request) -> Ticket:
-        """Queue a request that is accepted already, here or at another node.
+        """Queue a request that this node or another one has already accepted.
 
         Raises
         ------
         EndiveError
-            If its service is not declared here, or it has crashed servers.
+            If its service is not declared here, or the request has crashed servers.
         """
         service = self.service_of(request)
         scheduler = self.schedulers.get(service)
         if scheduler is None:
-            raise EndiveError(ErrorKind.NO_SERVER, f"no server of {service!r} is known")
+            raise EndiveError(
+                ErrorKind.NO_SERVER, f"no server of service {service!r} is known"
+            )
         call = self._call(request, service)
         decision = scheduler.take_over(call, self.clock.now())
         return self.enter(decision, scheduler)
@@ -174,12 +184,12 @@
         )
 
     def failed(self, ticket: Ticket, error: BackendError) -> None:
-        """Queue the ticket again after a delay, or raise the final answer.
+        """Queue the ticket again after a delay, or raise the final error.
 
         Raises
         ------
         EndiveError
-            If there must be no further attempt.
+            If no further attempt is allowed.
         """
         scheduler = self.owners[ticket]
         decision = scheduler.failed(
@@ -192,19 +202,31 @@
         )
         self.pump(scheduler)
         if isinstance(decision, Refusal):
-            raise refusal_error(decision, f"{decision.message}; the last: {error}")
+            raise refusal_error(decision, f"{decision.message}; last error: {error}")
         self.metrics.count_retry(error.reason)
         self.queue_again(ticket, decision.delay_s)
 
     def plan_moves(
         self, server: ServerView, *, seconds_left: float
     ) -> list[StreamMove]:
-        """Return how the streams at `server` leave it, in the order to act."""
+        """Return how each stream at `server` leaves it, in the order to move them.
+
+        Parameters
+        ----------
+        seconds_left : float
+            Seconds until the server is reclaimed.
+        """
         scheduler = self.schedulers[server.service]
         return scheduler.plan_moves(server.id, seconds_left=seconds_left)
 
     def requeue_moved(self, ticket: Ticket, tokens: int) -> None:
-        """Queue a stream again that its server has stopped for a move."""
+        """Queue a stream again that was stopped at its server in order to move.
+
+        Parameters
+        ----------
+        tokens : int
+            Number of tokens that were generated so far.
+        """
         scheduler = self.owners[ticket]
         self.waiting[ticket] = AsyncResult()
         scheduler.moved(ticket, self.clock.now(), tokens=tokens)
@@ -212,10 +234,11 @@
         self.pump(scheduler)
 
     def _crash_id(self, ticket: Ticket, error: BackendError) -> str:
-        """Return the name of the crash that ended an attempt; empty if none did.
+        """Return the id of the crash that ended an attempt; empty if none did.
 
-        A connection may break for many reasons; only a server that no longer listens
-        crashed. Nodes that saw it within the same few seconds give it one name.
+        A connection may break for many reasons; a server counts as crashed only if it
+        no longer listens. Nodes that detect the crash within the same few seconds give
+        it the same id.
         """
         if not error.started or error.reason is not RetryReason.SERVER_FAILED:
             return ""
@@ -231,7 +254,7 @@
     server: BackendServer,
     known: ServerView | None,
 ) -> ServerView:
-    """Return the view of a declared server, with the state known so far."""
+    """Return the view of a declared server, with its previous state if known."""
     view = known or ServerView(server.id, "", "", name, 1, 1.0, 1.0)
     view.address = server.address
     view.zone = server.zone
--- a/packages/endive_node/src/endive_node/serving.py
+++ b/packages/endive_node/src/endive_node/serving.py
@@ -1,4 +1,4 @@
-"""All requests of one node: accepted, joined, adopted and forgotten."""
+"""Acceptance, deduplication, handover and expiry of one node's requests."""
 
 import uuid
 
@@ -23,9 +23,9 @@
 
 
 class Serving:
-    """All requests of one node, from acceptance to the end of the answer.
+    """All requests of one node, from acceptance to the end of the response.
 
-    The caller API makes a :class:`Run` here for each call and reads its pieces.
+    The caller API creates a :class:`Run` here for each call and reads its tokens.
     """
 
     def __init__(
@@ -56,19 +56,20 @@
         self.request_locator: RequestLocator | None = None
 
     def new_request_id(self, organisation: str = "", key: str = "") -> str:
-        """Return an id from which any node can work out where the answer is."""
+        """Return an id from which any node can derive where the response is held."""
         unique = uuid.uuid4().hex[:12]
         return request_id_for(self.node_id, organisation, key, unique)
 
     def accept(self, request: Request) -> "Run":
-        """Enter `request`; return the run to read the answer from.
+        """Accept `request`; return the run to read the response from.
 
-        The same request sent again with its key joins the answer under way.
+        A request that repeats the idempotency key of an earlier one returns the
+        earlier one's run, unless that one ended without being run.
 
         Raises
         ------
         EndiveError
-            If the request is refused.
+            If the request is refused, or its key was used for another request.
         """
         try:
             return self._accept(request)
@@ -86,11 +87,13 @@
         if existing is not None:
             return existing
         if self.stopping:
-            raise EndiveError(ErrorKind.STOPPING, "this node takes no new requests")
+            raise EndiveError(
+                ErrorKind.STOPPING, "this node is stopping and accepts no new requests"
+            )
         if request.non_idempotent and not request.key:
             raise EndiveError(
                 ErrorKind.KEY_REQUIRED,
-                "a non-idempotent request needs an Idempotency-Key header",
+                "a non-idempotent request requires an Idempotency-Key header",
             )
         if request.non_idempotent:
             self.context.claims.check_age(request)
@@ -108,19 +111,27 @@
         if self.request_locator is not None and (run is None or moved):
             run = self.request_locator.find_key(request.organisation, request.key)
         if run is None and moved:
-            raise EndiveError(ErrorKind.MOVED, "another node goes on with the request")
+            raise EndiveError(
+                ErrorKind.MOVED, "the request was handed over to another node"
+            )
         if run is None:
             return None
         if run.record.request.fingerprint != request.fingerprint:
             raise EndiveError(
-                ErrorKind.KEY_REUSED, "the idempotency key was used for another request"
+                ErrorKind.KEY_REUSED,
+                "the idempotency key was already used for a different request",
             )
         return None if run.not_run else run
 
     def add_transferred(self, record: RequestRecord, *, sent_before: bool) -> "Run":
-        """Enter a request of another node, which may still be running it there.
+        """Add a request that another node hands over and may still be running.
+
+        The run stays paused until :meth:`Run.resume` is called.
 
-        Until it is told to go on, it only waits for the other's answer.
+        Parameters
+        ----------
+        sent_before : bool
+            Whether the other node may have sent the request to a server.
         """
         run = Run(self.context, record, None)
         run.wait_for_holder(sent_before=sent_before)
@@ -128,7 +139,7 @@
         return run
 
     def expire(self) -> None:
-        """Forget finished answers for ever; the body of a greenlet."""
+        """Remove expired responses in an endless loop; the body of a greenlet."""
         while True:
             gevent.sleep(EXPIRY_INTERVAL_S)
             self.registry.expire(self.clock.now())
--- a/packages/endive_node/src/endive_node/waiters.py
+++ b/packages/endive_node/src/endive_node/waiters.py
@@ -1,4 +1,4 @@
-"""Greenlets that wait for a server, and the schedulers that give them one."""
+"""Greenlets that wait for a server, and the schedulers that assign one to them."""
 
 from collections.abc import Callable
 
@@ -10,31 +10,36 @@
 from gevent.event import AsyncResult, Event
 
 PUMP_S = 0.01
-"""How often queues are tried when nothing else makes them: pacing and pauses lapse
-with time alone, and a hundredth of a second is little against targets of 0.2 s."""
+"""Seconds between two polls of queues that no event triggers: pacing and pauses of
+servers end with time alone. 10 ms are short against latency targets of 0.2 s."""
 
 CRASH_WINDOW_S = 10.0
-"""Crashes of one server within a window of the wall clock are one crash, so that nodes
-that saw it count it once. A server needs longer than this to load its model again."""
+"""Seconds. Crashes of one server within the same window of the wall clock are one
+crash, so that several nodes that detect it count it once. A server needs longer than
+this to load its model again."""
 
 
 class Waiters:
-    """What a node's requests go through between admission and their end.
+    """The queued and running requests of a node, from admission to their end.
 
-    The decisions are made by :class:`endive_core.scheduler.Scheduler`; this class gives
-    them time and lets greenlets wait for them.
+    The decisions are made by :class:`endive_core.scheduler.Scheduler`; this class
+    passes it the time and lets greenlets wait for its dispatches.
 
     Parameters
     ----------
     now : callable
-        Returns seconds on a clock that only goes forward.
+        Returns seconds on a monotonic clock.
 
     Attributes
     ----------
     schedulers : dict of str to Scheduler
         By service.
     owners : dict of Ticket to Scheduler
-        The requests that have not ended.
+        The scheduler of each request that has not ended.
+    waiting : dict of Ticket to AsyncResult
+        The server of the ticket's next attempt, once one is assigned.
+    queued : Event
+        Set while any queue may hold requests.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -45,7 +50,7 @@
         self.queued = Event()
 
     def enter(self, decision: Ticket | Refusal, scheduler: Scheduler) -> Ticket:
-        """Let an admitted request wait; raises EndiveError if it was refused."""
+        """Add an admitted request; raise EndiveError if it was refused."""
         if isinstance(decision, Refusal):
             raise refusal_error(decision)
         self.owners[decision] = scheduler
@@ -59,23 +64,23 @@
         Raises
         ------
         EndiveError
-            If the ticket was given up in the queue.
+            If the ticket expired in the queue.
         """
         return self.waiting[ticket].get()
 
     def started(self, ticket: Ticket) -> None:
-        """Note the first piece of an attempt."""
+        """Record the first piece of an attempt."""
         if ticket.stage is Stage.DISPATCHED:
             self.owners[ticket].started(ticket, self.now())
 
     def finished(self, ticket: Ticket, tokens: int) -> None:
-        """Note the whole answer of `tokens` tokens."""
+        """Record a complete response of `tokens` tokens."""
         scheduler = self.owners[ticket]
         scheduler.finished(ticket, self.now(), tokens=tokens)
         self.pump(scheduler)
 
     def queue_again(self, ticket: Ticket, delay_s: float) -> None:
-        """Queue a ticket again whose attempt failed, after a delay."""
+        """Queue a ticket again whose attempt failed, after `delay_s` seconds."""
         scheduler = self.owners[ticket]
         self.waiting[ticket] = AsyncResult()
         gevent.sleep(delay_s)
@@ -83,7 +88,7 @@
         self.pump(scheduler)
 
     def end(self, ticket: Ticket) -> None:
-        """Forget the ticket; frees its slot if its caller hung up."""
+        """Remove the ticket; free its slot if it still holds one."""
         scheduler = self.owners.pop(ticket, None)
         if scheduler is None:
             return
@@ -92,7 +97,7 @@
         self.pump(scheduler)
 
     def pump(self, scheduler: Scheduler) -> None:
-        """Wake the greenlets of all tickets that may be sent now."""
+        """Wake the greenlets of all tickets that are dispatched or have expired."""
         now = self.now()
         while (dispatch := scheduler.next_dispatch(now)) is not None:
             view = scheduler.servers.servers[dispatch.server].view
@@ -104,7 +109,7 @@
             self.queued.set()
 
     def pump_often(self) -> None:
-        """Try the queues for ever; the body of a greenlet."""
+        """Poll the non-empty queues in an endless loop; the body of a greenlet."""
         while True:
             self.queued.wait()
             gevent.sleep(PUMP_S)
@@ -116,7 +121,7 @@
 
 
 def refusal_error(refusal: Refusal, message: str = "") -> EndiveError:
-    """Return the error that tells a refusal."""
+    """Return the error that reports `refusal` to the caller."""
     return EndiveError(
         refusal.kind,
         message or refusal.message,
@@ -125,5 +130,5 @@
 
 
 def crash_name(server: str, wall_time: float) -> str:
-    """Return the name that all nodes give to a crash of `server` at that time."""
+    """Return the id that all nodes give to a crash of `server` at `wall_time`."""
     return f"{server}@{int(wall_time // CRASH_WINDOW_S)}"
