--- a/packages/endive_node/src/endive_node/request_registry.py
+++ b/packages/endive_node/src/endive_node/request_registry.py
@@ -1,4 +1,4 @@
-"""The requests a node has accepted, and their answers so far."""
+"""The requests that a node has accepted, and their responses so far."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
@@ -11,24 +11,24 @@
 
 REORDERED = "reordered"
 MAX_EARLY_PIECES = 16
-"""Pieces kept that came before their turn; an engine that leaves a longer gap has lost
-a piece, and the answer goes on with another attempt."""
+"""Most out-of-order pieces kept for one request. An engine that leaves a longer gap has
+lost a piece, and the response continues with another attempt."""
 
 
 @dataclass
 class RequestRecord:
-    """One accepted request and its answer so far.
+    """One accepted request and its response so far.
 
     Attributes
     ----------
     tokens : list of str
-        The answer's tokens in order; the position is the token's index.
+        The response's tokens in order; the position is the token's index.
     attempt : int
         Number of the current attempt, from 0; pieces of any other are dropped.
     finish_reason : str
-        Empty until the answer is whole.
+        Empty until the response is complete.
     error : EndiveError or None
-        Set instead, if the request ended without a whole answer.
+        Set if the request ended without a complete response.
     """
 
     request: Request
@@ -47,15 +47,15 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will come."""
+        """Whether the response is complete or has failed."""
         return bool(self.finish_reason) or self.error is not None
 
     def classify(self, piece: Piece) -> str:
-        """Return why `piece` must not be shown, or an empty string.
+        """Return why `piece` must not be appended, or an empty string.
 
-        Engines repeat, swap and misdirect pieces now and then; a caller would read a
-        garbled answer, or a stranger's. Request, attempt and index together name the
-        one piece that may come next.
+        Engines occasionally repeat, swap and misdirect pieces; a caller would read a
+        garbled response, or another caller's. Request, attempt and index together
+        identify the one piece that may come next.
         """
         if piece.request_id != self.request.request_id:
             return "foreign"
@@ -68,17 +68,17 @@
         return ""
 
     def append(self, piece: Piece) -> None:
-        """Append a piece that :meth:`classify` let through, and any that waited."""
+        """Append the next piece, and the early pieces that follow it."""
         self.tokens.append(piece.text)
         self.finish_reason = piece.finish_reason
         if self.early:
             self._append_early()
 
     def keep_early(self, piece: Piece) -> None:
-        """Keep a piece that came before its turn until those before it are there.
+        """Keep a piece that arrived early until those before it have arrived.
 
         An engine that swaps two pieces would otherwise leave a gap, and the rest of
-        the answer would have to be generated again.
+        the response would have to be generated again.
         """
         if piece.attempt != self.early_attempt:
             self.early.clear()
@@ -94,11 +94,11 @@
             self.finish_reason = piece.finish_reason
 
     def extend(self, tokens: list[str]) -> None:
-        """Take over the whole answer so far from the server that made it."""
+        """Append those `tokens` of a server's response so far that are missing here."""
         self.tokens += tokens[len(self.tokens) :]
 
     def wake(self) -> None:
-        """Let every other reader of this answer look again."""
+        """Wake all readers that wait for this response's progress."""
         self.progressed.set()
         self.progressed.clear()
 
@@ -106,8 +106,8 @@
 class RequestRegistry:
     """All requests of this node by id, and by idempotency key.
 
-    Callers meet it when they resume an answer, or send a request again with its key
-    and join the answer under way. Finished answers stay for `keep_finished_s`.
+    It serves callers that resume a response, or repeat a request with its key and read
+    the same response. Finished responses are kept for `keep_finished_s` seconds.
     """
 
     def __init__(self, keep_finished_s: float) -> None:
@@ -116,7 +116,7 @@
         self.by_key: dict[tuple[str, str], str] = {}
 
     def add(self, run) -> None:
-        """Enter an accepted request."""
+        """Add the run of an accepted request."""
         request = run.record.request
         self.runs[request.request_id] = run
         if request.key:
@@ -131,7 +131,7 @@
         return self.runs.get(self.by_key.get((organisation, key), ""))
 
     def remove(self, run) -> None:
-        """Forget a request."""
+        """Remove a run."""
         request = run.record.request
         self.runs.pop(request.request_id, None)
         key = (request.organisation, request.key)
@@ -139,7 +139,7 @@
             del self.by_key[key]
 
     def expire(self, now: float) -> None:
-        """Forget the answers that finished long enough ago."""
+        """Remove the runs that finished over `keep_finished_s` seconds before `now`."""
         for run in list(self.runs.values()):
             finished_at = run.record.finished_at
             if finished_at is not None and now - finished_at > self.keep_finished_s:
@@ -153,17 +153,17 @@
 def read_tokens(
     record: RequestRecord, start: int, advance: Callable[[], None]
 ) -> Iterator[list[str]]:
-    """Yield a record's tokens from index `start`, as they come.
+    """Yield a record's tokens from index `start` as they arrive.
 
     Parameters
     ----------
-    progress : callable
-        Brings the record forward, or waits until somebody else has.
+    advance : callable
+        Adds tokens to the record, or waits until another greenlet has.
 
     Raises
     ------
     EndiveError
-        Where the answer ends in an error.
+        If the response ends in an error.
     """
     position = start
     while True:
--- a/packages/endive_node/src/endive_node/request_traces.py
+++ b/packages/endive_node/src/endive_node/request_traces.py
@@ -1,4 +1,4 @@
-"""What became of each request, and why: notes for ``endivectl explain``."""
+"""Traces of requests: their decisions and events, for ``endivectl explain``."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -20,12 +20,12 @@
 
 @dataclass
 class RequestTrace:
-    """All notes of one request.
+    """The decisions and events of one request, in the order of time.
 
     Attributes
     ----------
     state, executed : str
-        As in the request's state chart, at the last note.
+        Lifecycle state of the request, and whether it was executed, as last recorded.
     """
 
     request_id: str
@@ -41,7 +41,7 @@
         self.notes.append(Note(self.clock.now(), text))
 
     def to_dict(self, node_id: str) -> dict:
-        """Return the trail as operators read it."""
+        """Return the trace as the JSON object that operators receive."""
         start = self.notes[0].at if self.notes else 0.0
         return {
             "request_id": self.request_id,
@@ -58,10 +58,10 @@
 
 
 class TraceStore:
-    """The trails of the latest requests of a node, refused ones among them.
+    """The traces of a node's latest requests, refused ones included.
 
-    Operators meet it as ``endivectl explain``. The number is bounded, and so is the
-    memory: a trail is about 1 kB, and 5,000 of them are the last minute at the peak.
+    ``endivectl explain`` shows them. Their number is bounded, and with it the memory:
+    a trace takes about 1 kB, and 5,000 of them cover the last minute at peak load.
     """
 
     def __init__(self, clock: Clock, max_traces: int) -> None:
@@ -70,7 +70,7 @@
         self.traces_by_id: OrderedDict[str, RequestTrace] = OrderedDict()
 
     def get_or_create(self, request: Request) -> RequestTrace:
-        """Return the trail of `request`, new if it has none yet."""
+        """Return the trace of `request`, creating it if there is none."""
         trace = self.traces_by_id.get(request.request_id)
         if trace is None:
             trace = RequestTrace(
@@ -82,39 +82,40 @@
         return trace
 
     def add_refusal(self, request: Request, error: EndiveError) -> None:
-        """Note a request that was refused before it was accepted."""
+        """Record a request that was refused on arrival."""
         trace = self.get_or_create(request)
         trace.state = "refused"
         trace.executed = str(error.executed)
         trace.add_note(error_note(error))
 
     def get(self, request_id: str) -> RequestTrace:
-        """Return the trail of a request.
+        """Return the trace of a request.
 
         Raises
         ------
         EndiveError
-            ``unknown_request`` if it never came here, or too long ago.
+            ``unknown_request`` if this node has no trace of the request.
         """
         trace = self.traces_by_id.get(request_id)
         if trace is None:
             raise EndiveError(
                 ErrorKind.UNKNOWN_REQUEST,
-                f"no notes of {request_id!r}: never seen here, or too long ago",
+                f"no trace of request {request_id!r} on this node: it was not received "
+                "here, or its trace has been dropped",
             )
         return trace
 
 
 def error_note(error: EndiveError) -> str:
-    """Return the note of a request that ends in `error`."""
+    """Return the note on a request that ends in `error`."""
     retry_note = (
-        "" if error.retry_after_s is None else f"; come back in {error.retry_after_s} s"
+        "" if error.retry_after_s is None else f"; retry after {error.retry_after_s} s"
     )
     return f"{error.kind}: {error.message}{retry_note}"
 
 
 def queue_note(ticket: Ticket | None) -> str:
-    """Return how a request was queued, for its trail."""
+    """Return the part of the first note that says how the request was queued."""
     if ticket is None:
         return ", handed over by another node"
     call = ticket.call
@@ -125,7 +126,7 @@
 
 
 def cache_note(ticket: Ticket) -> str:
-    """Return what placement expected of the server's cache, for the trail."""
+    """Return the part of an attempt's note on the expected prefix-cache misses."""
     return (
         f", {ticket.uncached_tokens:.0f} of {ticket.call.prompt_tokens} "
         f"prompt tokens not expected in its cache"
--- a/packages/endive_node/src/endive_node/runs.py
+++ b/packages/endive_node/src/endive_node/runs.py
@@ -1,4 +1,4 @@
-"""One request on its way: attempts at servers, moves, handovers and its end."""
+"""One accepted request: its attempts at servers, moves, handover and end."""
 
 from collections.abc import Iterator
 
@@ -21,11 +21,29 @@
 
 
 class Run:
-    """One request on its way; whoever reads the answer drives it.
+    """One accepted request, driven by a greenlet that reads its response.
 
     The reader's own greenlet reads from the backend server, so that a token costs one
     read and one write and no switch between greenlets. Other readers of the same
-    answer wait for the driver; when the driver leaves, the next one takes over.
+    response wait for this driver; when it leaves, the next reader drives.
+
+    Attributes
+    ----------
+    driver : gevent.Greenlet or None
+        The greenlet that drives the request now or did so last.
+    paused : bool
+        Whether nobody may drive the request until :meth:`resume` is called.
+    sent_before : bool
+        Whether a former holder may have sent the request to a server.
+    continues : int
+        For a non-idempotent request, one more than the last attempt that was sent
+        under an earlier claim; 0 if there is none.
+    moved : bool
+        Whether another node has taken the request over.
+    pending_move : PendingMove or None
+        The move that stops the current attempt, if there is one.
+    kv_cache : dict or None
+        KV cache exported from the previous server, for the next attempt.
     """
 
     def __init__(
@@ -52,12 +70,12 @@
         self._steps = self._drive()
 
     def read(self, start: int = 0) -> Iterator[list[str]]:
-        """Yield the answer's tokens from index `start`, as they come.
+        """Yield the response's tokens from index `start` as they arrive.
 
         Raises
         ------
         EndiveError
-            Where the answer ends in an error.
+            If the response ends in an error.
         """
         self.readers += 1
         try:
@@ -73,7 +91,7 @@
             self.advance()
 
     def advance(self) -> None:
-        """Drive the request up to its next pieces, or its end."""
+        """Drive the request up to its next batch of pieces or its end."""
         self.driving = True
         self.driver = gevent.getcurrent()
         try:
@@ -88,7 +106,7 @@
                 request_id=self.record.request.request_id,
                 error=repr(error),
             )
-            self._fail(EndiveError(ErrorKind.INTERNAL, "an internal error"))
+            self._fail(EndiveError(ErrorKind.INTERNAL, "internal error"))
             raise
         finally:
             self.driving = False
@@ -96,41 +114,42 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether the request ended and no server ran anything of it."""
+        """Whether the request ended without any server having run it."""
         return self.lifecycle.ended and self.lifecycle.executed is Executed.NO
 
     @property
     def dispatched(self) -> bool:
-        """Whether a server may have run anything of it, here or before."""
+        """Whether this node or a former holder may have sent it to a server."""
         return self.sent_before or self.lifecycle.state not in UNSENT_STATES
 
     @property
     def claim_continues(self) -> int:
         """One more than the last attempt under a used claim; 0 if none was used.
 
-        Only a used claim is held for ever. Were a request to go on under a key of its
-        own after its claim was released, the caller's key could be won by another.
+        Only a used claim is held permanently. If a request continued under a key of
+        its own after its claim was released, another request could win the caller's
+        key, and both would run.
         """
         if self.claim is not None and self.claim.state is ClaimState.USED:
             return self.record.attempt + 1
         return self.continues
 
     def mark_offered(self) -> None:
-        """Note that another node is sent a record of the request and may run it."""
+        """Record that another node is sent the request and may run it."""
         if self.lifecycle.allows(Event.OFFER):
             self.lifecycle.fire(Event.OFFER)
 
     def finish_in_background(self) -> None:
-        """Drive to the end without a reader."""
+        """Drive the request to its end without a reader."""
         while not self.record.ended:
             self._advance_or_wait()
 
     def pause(self) -> None:
-        """Stop driving; readers wait until the request goes on here or has moved.
+        """Stop driving; readers wait until the request is resumed or has moved.
 
-        The driver is thrown out of whatever it waits for: a server, a place in the
-        queue or the log. That happens in the hub, as for gevent's own time-outs, so
-        it is done once the caller of this method has yielded.
+        RunPaused is thrown into the driver, whether it waits for a server, in the
+        queue or for the log. The hub does so, as for gevent's own time-outs, so it
+        has happened once the caller of this method has yielded.
         """
         self.paused = True
         if self.driving:
@@ -141,13 +160,13 @@
             self.driver.throw(RunPaused)
 
     def wait_for_holder(self, *, sent_before: bool) -> None:
-        """Hold a request that another node has not stopped yet."""
+        """Pause a request that its former holder has not stopped yet."""
         self.paused = True
         self.sent_before = sent_before
         self.lifecycle.state = State.JOINING
 
     def hand_over(self) -> None:
-        """Give a paused request up: nothing of it is sent from here any more."""
+        """Release a paused request, so that this node sends nothing of it any more."""
         if self.lifecycle.allows(Event.SERVER_LOST):
             self.lifecycle.fire(Event.SERVER_LOST)
         self.pending_move = None
@@ -162,13 +181,25 @@
             self.ticket = None
 
     def cancel_handover(self, *, uncertain: bool) -> None:
-        """Go on with a request that no other node took, or may have taken."""
+        """Resume a request whose handover failed.
+
+        Parameters
+        ----------
+        uncertain : bool
+            Whether the other node may have taken it over all the same.
+        """
         if self.lifecycle.state is State.HANDING_OVER:
             self.lifecycle.fire(Event.UNACKNOWLEDGED if uncertain else Event.DECLINED)
         self.resume()
 
     def resume(self, *, in_background: bool = False) -> None:
-        """Drive a request again that was paused or adopted."""
+        """Drive a request again that was paused or handed over by another node.
+
+        Parameters
+        ----------
+        in_background : bool
+            Drive it in a greenlet of its own even if it has readers.
+        """
         if not self.paused or self.record.ended:
             return
         self.paused = False
@@ -182,7 +213,7 @@
         self.record.wake()
 
     def end_moved(self) -> None:
-        """End the answer here, since another node goes on with it."""
+        """End the response here, since another node continues it."""
         self.moved = True
         if self.record.ended:
             return
@@ -190,29 +221,33 @@
         self._end_with(
             EndiveError(
                 ErrorKind.MOVED,
-                "this node is being reclaimed; go on at any other node with "
+                "this node is being reclaimed; resume at any other node with "
                 "GET /v1/requests/ID and Last-Event-ID, or send the request again "
-                "with its key",
+                "with its idempotency key",
             )
         )
 
     def end_complete(self, finish_reason: str) -> None:
-        """End an answer that its former holder had whole."""
+        """End a response that its former holder had completed."""
         self.lifecycle.fire(Event.COMPLETE)
         self.record.finish_reason = finish_reason
         self._record_end(outcome="ok")
         self.record.wake()
 
     def end_failed(self, error: EndiveError) -> None:
-        """End an answer as its former holder did."""
+        """End a response with the error with which its former holder ended it."""
         self._fail(error)
 
     def head(self) -> RequestHead:
-        """Return what another node needs to pass the answer on."""
+        """Return the metadata that another node needs to relay the response."""
         return head_of(self.record.request)
 
     def stop_at_server(self) -> bool:
-        """Make the server stop; return whether it confirmed that nothing runs on."""
+        """Stop the request at its server; return whether the server confirmed it.
+
+        Without confirmation by its engine the request ends as ``outcome_unknown``.
+        A request that no engine runs cannot be stopped.
+        """
         if self.backend is None or self.record.request.endpoint is Endpoint.SERVICE:
             return False
         self.pause()
@@ -226,20 +261,21 @@
         return True
 
     def end_unknown(self) -> None:
-        """End a request of which its former holder left the outcome open."""
+        """End a request whose outcome its former holder did not report."""
         self._fail(
             EndiveError(
                 ErrorKind.OUTCOME_UNKNOWN,
-                "the node that held the request was reclaimed before it could tell "
+                "the node that held the request was reclaimed before it reported "
                 "whether a server ran it",
             )
         )
 
     def _reader_left(self) -> None:
-        """Go on without readers only where stopping would lose what was accepted.
+        """Continue without readers only if the request has an idempotency key.
 
-        A caller that hangs up on a request without a key cannot come back for it, so
-        its server is freed; with a key it may send the request again and join.
+        A caller that disconnects from a request without a key cannot resume it, so the
+        request is cancelled and its server freed. With a key, the caller may send the
+        request again and read the same response.
         """
         if self.readers or self.record.ended:
             return
@@ -247,7 +283,7 @@
             gevent.spawn(self.finish_in_background)
         elif not self.driving:
             self._steps.close()
-            self._fail(EndiveError(ErrorKind.CANCELLED, "the caller hung up"))
+            self._fail(EndiveError(ErrorKind.CANCELLED, "the caller disconnected"))
 
     def _fail(self, error: EndiveError) -> None:
         if self.record.ended:
@@ -267,11 +303,10 @@
         self.record.wake()
 
     def _correct_executed(self, error: EndiveError) -> EndiveError:
-        """Return `error`, or one that doesn't deny an attempt that may have run.
+        """Return `error`, or one that reports that an earlier attempt may have run.
 
-        A later attempt that finds no server, say, would tell the caller "not run"
-        although an earlier one was sent; the caller would send a court confirmation
-        again.
+        If a later attempt finds no server, its error says "not run" although an
+        earlier attempt was sent; the caller would repeat a non-idempotent request.
         """
         if error.executed is not Executed.NO or self.lifecycle.executed is Executed.NO:
             return error
@@ -280,7 +315,7 @@
             if self.record.request.non_idempotent
             else ErrorKind.BACKEND_FAILED
         )
-        return EndiveError(kind, f"after an attempt that may have run: {error.message}")
+        return EndiveError(kind, f"an earlier attempt may have run: {error.message}")
 
     def _record_end(self, *, outcome: str) -> None:
         record = self.record
@@ -303,7 +338,7 @@
         )
 
     def _drive(self) -> Iterator[None]:
-        """Run attempts until one ends the answer; yield after each batch of pieces."""
+        """Run attempts until the response ends; yield after each batch of pieces."""
         if self.lifecycle.allows(Event.ENQUEUE):
             self.lifecycle.fire(Event.ENQUEUE)
         if self.ticket is None:
@@ -318,10 +353,10 @@
                     self._decide_retry(error)
 
     def _claim(self) -> None:
-        """Win the only right to send a non-idempotent request, once.
+        """Acquire the claim on a non-idempotent request's key, once.
 
-        The log is asked while the request waits in its queue, so that most of the
-        time it adds nothing to the wait for a server.
+        The log decides the claim while the request waits in its queue, so that this
+        usually adds nothing to the wait for a server.
         """
         if not self.lifecycle.allows(Event.CLAIM):
             return
@@ -342,13 +377,13 @@
             self.claim.use()
 
     def _not_started(self) -> None:
-        """Note that an attempt certainly did not run; its claim holds as before."""
+        """Record that an attempt certainly did not run; its claim is still held."""
         self.lifecycle.fire(Event.NOT_STARTED)
         if self.claim is not None and self.lifecycle.state is State.CLAIMED:
             self.claim.not_started()
 
     def _withdraw_claim(self) -> None:
-        """Free the key if nothing was sent; called once the chart rules that out."""
+        """Withdraw an unused claim, once the lifecycle rules out that it is used."""
         if self.claim is not None:
             self.context.claims.withdraw(self.claim)
 
@@ -366,16 +401,16 @@
         yield from RunAttempt(self, server).steps()
         self.lifecycle.fire(Event.COMPLETE)
         tokens = len(record.tokens)
-        self.trace.add_note(f"whole, {tokens} tokens")
+        self.trace.add_note(f"complete, {tokens} tokens")
         self.context.dispatcher.finished(self.ticket, tokens or 1)
         self._record_end(outcome="ok")
 
     def _finish_move(self, error: BackendError) -> bool:
-        """Return whether the attempt ended because the stream moves off its server.
+        """Return whether the attempt ended because its stream moves elsewhere.
 
-        Whoever stopped it there has the tokens up to the stop, and the KV cache if
-        there was time to export it. A move is no failure: it does not count against
-        the limit of attempts.
+        The StreamMover that stopped it has the tokens up to the stop, and the KV cache
+        if there was time to export it. A move is not a failure: it does not count
+        against the maximum number of attempts.
         """
         pending_move, self.pending_move = self.pending_move, None
         if pending_move is None or not pending_move.wait():
@@ -388,13 +423,14 @@
         self.kv_cache = pending_move.kv_cache
         self.trace.add_note(
             f"stopped at {self.record.servers[-1]} for a move, with "
-            f"{len(pending_move.tokens)} tokens{' and the KV cache' if pending_move.kv_cache else ''}"
+            f"{len(pending_move.tokens)} tokens"
+            f"{' and the KV cache' if pending_move.kv_cache else ''}"
         )
         self.context.dispatcher.requeue_moved(self.ticket, len(self.record.tokens))
         return True
 
     def _decide_retry(self, error: BackendError) -> None:
-        """Return if another attempt is allowed; otherwise raise the final answer."""
+        """Return if another attempt is allowed; otherwise raise the final error."""
         self.trace.add_note(
             f"attempt {self.record.attempt + 1} failed: {error.reason}: {error}"
         )
--- a/packages/endive_node/tests/test_request_registry.py
+++ b/packages/endive_node/tests/test_request_registry.py
@@ -22,7 +22,7 @@
         (Piece("r-1", 2, 3, "d "), "reordered"),
     ],
 )
-def test_only_the_next_piece_of_this_attempt_is_shown(record, piece, reason):
-    """A server repeats, swaps or misdirects pieces, or an attempt that was given up
-    still talks; the caller would read a garbled answer, or a stranger's."""
+def test_only_the_next_piece_of_this_attempt_is_appended(record, piece, reason):
+    """A server repeats, swaps or misdirects pieces, or an abandoned attempt still sends
+    some; the caller would read a garbled response, or another caller's."""
     assert record.classify(piece) == reason
--- a/packages/endive_node/tests/test_run_handover.py
+++ b/packages/endive_node/tests/test_run_handover.py
@@ -1,4 +1,4 @@
-"""What a request may say of itself while a handover is under way."""
+"""Tests of the outcome that a request reports during a handover."""
 
 from endive_core.claims import ClaimState
 from endive_core.exceptions import Executed
@@ -22,19 +22,19 @@
     return Handover(path, section, OneMember(), NoticeTable(path.clock))
 
 
-def test_request_whose_record_left_is_not_told_as_not_run():
-    """A node under notice has sent a peer the record of a waiting request. Then no
-    server takes the request, and the caller is told "not run"; the peer takes the
-    node for dead and runs it."""
+def test_request_whose_record_was_sent_is_not_reported_as_not_run():
+    """A node under notice has sent a waiting request to a peer, and then finds no
+    server for it. If the caller were told "not run", the request might still run: the
+    peer takes the node for dead and runs it."""
     path = serving(FakeEngines(not_started()), servers=1)
     run = path.accept(request(path))
     run.mark_offered()
     assert error_of(run).executed is Executed.UNKNOWN
 
 
-def test_receiver_whose_sender_fell_silent_does_not_say_not_run():
-    """The record left before its sender sent the request to a server, and then the
-    sender was killed. The receiver finds no server; the request may have run."""
+def test_receiver_whose_sender_stopped_responding_does_not_report_not_run():
+    """The sender sent the request to a peer, then to a server, and was killed. The
+    receiver finds no server, but the request may have run."""
     path = serving(FakeEngines(not_started()), servers=1)
     run = path.add_transferred(RequestRecord(request(path), 0.0), sent_before=False)
     handover(path).takeover.sender_gone(run)
@@ -42,8 +42,9 @@
 
 
 def test_receiver_claims_the_key_itself_unless_a_server_was_stopped():
-    """Were a receiver to go on under a key of its own although the sender's claim was
-    released, a second sending of the caller's key could win that one, and both run."""
+    """If a receiver continued under a key of its own although the sender's claim was
+    released, a repeat of the caller's request could claim the caller's key, and both
+    would run."""
     path = serving(FakeEngines(not_started(), not_started()), servers=1)
     run = path.accept(request(path, key="k", non_idempotent=True))
     assert error_of(run).executed is Executed.NO
@@ -52,9 +53,10 @@
     assert answer_of(run).continues == 0
 
 
-def test_answer_of_a_stopped_run_names_the_attempt_to_continue():
-    """A priced quote was stopped at its server. The receiver must claim the right to
-    go on after this attempt; the key itself was used and stays so."""
+def test_transfer_of_a_stopped_run_names_the_attempt_to_continue():
+    """A non-idempotent request was stopped at its server. The receiver must claim the
+    right to continue after this attempt, since the claim of the key itself is used
+    and stays held."""
     path = serving(FakeEngines(None))
     run = path.accept(request(path, key="k", non_idempotent=True))
     reader = run.read()
