--- a/packages/endive_node/src/endive_node/backends.py
+++ b/packages/endive_node/src/endive_node/backends.py
@@ -1,4 +1,4 @@
-"""Adapters to backend servers: model engines and plain services."""
+"""HTTP clients for backend servers: model engines and plain services."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -18,26 +18,28 @@
 DONE = b"[DONE]"
 READ_BYTES = 65_536
 COMMAND_TIMEOUT_S = 1.0
-"""Time-out of an order about one stream: a notice lasts about three seconds."""
+"""Time-out, in seconds, of a command about one stream, and of a load request. A
+reclaim notice lasts about three seconds."""
 
 RESPONSE_END_TIMEOUT_S = 0.05
-"""Engines write the end together with the last piece; waiting longer than this costs
-more than a new connection."""
+"""Seconds to wait for the end of a response after its last piece. Engines write both
+together; waiting longer costs more than a new connection."""
 
 LISTEN_CHECKS = 5
 LISTEN_CHECK_PAUSE_S = 0.05
-"""A quarter of a second in all: a process that is gone has closed its port by then,
-and a request whose stream broke can wait that long for its next attempt."""
+"""Seconds; with LISTEN_CHECKS a quarter of a second in all. A process that has died
+has closed its port by then, and a request whose stream broke can wait that long for
+its next attempt."""
 
 
 class Delta(msgspec.Struct):
-    """The new text of a chat event."""
+    """The text of a chat event."""
 
     content: str = ""
 
 
 class Choice(msgspec.Struct):
-    """The one choice of an engine's event."""
+    """The single choice of an engine's event."""
 
     text: str = ""
     delta: Delta | None = None
@@ -45,7 +47,17 @@
 
 
 class EngineEvent(msgspec.Struct):
-    """One event of an engine's stream; see docs/STANDINS.md."""
+    """One event of an engine's stream; the format is in docs/STANDINS.md.
+
+    Attributes
+    ----------
+    id : str
+        Request id.
+    attempt : int
+        Number of the attempt that the event belongs to, from 0.
+    index : int
+        Index of the event's token in the whole response.
+    """
 
     id: str
     attempt: int
@@ -58,7 +70,7 @@
 
 @dataclass(frozen=True)
 class PlainResponse:
-    """A plain service's whole answer."""
+    """Complete HTTP response of a plain service."""
 
     status: int
     content_type: str
@@ -66,9 +78,9 @@
 
 
 class BackendClients:
-    """Connections to all backend servers; made once for a node.
+    """Connection pool to all backend servers, one for each node.
 
-    Users meet its errors as ``backend_failed`` or ``backend_rejected``.
+    Callers see its errors as ``backend_failed`` or ``backend_rejected``.
     """
 
     def __init__(self, settings: BackendSection) -> None:
@@ -81,11 +93,11 @@
         return cls(settings)
 
     def engine(self, address: str) -> "EngineServer":
-        """Return the engine at `address`, for one attempt."""
+        """Return a client of the engine at `address`, for one attempt."""
         return EngineServer(self, address)
 
     def plain(self, address: str) -> "PlainServer":
-        """Return the plain service's server at `address`."""
+        """Return a client of the plain service's server at `address`."""
         return PlainServer(self, address)
 
     def timeout(self) -> urllib3.Timeout:
@@ -95,12 +107,12 @@
         )
 
     def open(self, method: str, url: str, body: bytes, headers: dict):
-        """Send one call; return the response with its body unread.
+        """Send one request; return the response with its body unread.
 
         Raises
         ------
         BackendError
-            ``started`` is false only if no connection was made.
+            If the request failed; ``started`` is false only if no connection was made.
         """
         try:
             return self.pool.request(
@@ -121,12 +133,13 @@
             ) from None
 
     def is_listening(self, address: str) -> bool:
-        """Return whether a process listens at `address`; asked after a stream broke.
+        """Return whether a process listens at `address`; called after a stream broke.
 
-        A dying process closes its sockets one after the other, so that a kept
-        connection may be reset while the port still takes new ones. Asked only once,
-        such a server looks alive, its crash is not counted against the request, and
-        the request takes down one more. Whole answers and time-outs end the asking.
+        A dying process closes its sockets one after the other, so that a pooled
+        connection may be reset while the port still accepts new ones. With a single
+        check such a server looks alive: its crash is not counted against the request,
+        which then crashes another server. So the check is repeated after a broken
+        connection; a refused one, a complete response or a time-out decides.
         """
         for _ in range(LISTEN_CHECKS):
             try:
@@ -146,12 +159,12 @@
     def fetch_json(
         self, address: str, path: str, *, timeout: float | None = None
     ) -> dict:
-        """Return the JSON at `path` of the server at `address`.
+        """Return the JSON object at `path` of the server at `address`.
 
         Parameters
         ----------
         timeout : float, optional
-            Seconds; without it the time-outs of an attempt.
+            Seconds; by default the time-outs of an attempt apply.
         """
         response = self.pool.request(
             "GET", f"http://{address}{path}", timeout=timeout or self.timeout()
@@ -160,7 +173,7 @@
 
 
 class EngineServer:
-    """One model engine, as :class:`endive_node.interfaces.BackendServer`."""
+    """Client of one model engine; see :class:`endive_node.interfaces.BackendServer`."""
 
     def __init__(self, clients: BackendClients, address: str) -> None:
         self.clients = clients
@@ -171,7 +184,7 @@
     def run(
         self, request: Request, attempt: int, tokens: list[str], *, priority: int = 0
     ) -> Iterator[list[Piece]]:
-        """Send `request`; yield pieces, all that one read brought at a time."""
+        """Send `request`; yield the pieces of each read as one batch."""
         body = request.body | {
             "stream": True,
             "request_id": request.request_id,
@@ -192,27 +205,27 @@
         return self._pieces()
 
     def import_kv(self, blob: dict) -> None:
-        """Bring the KV cache that another server exported, for the next attempt.
+        """Import a KV cache that another server exported, for the next attempt.
 
-        If this server can't take it in, it computes prompt and tokens again.
+        If this server can't import it, it computes prompt and tokens again.
         """
-        answer = self._send_command("/kv/import", {"blob": blob})
-        self.kv_handle = None if answer is None else answer["kv_handle"]
+        reply = self._send_command("/kv/import", {"blob": blob})
+        self.kv_handle = None if reply is None else reply["kv_handle"]
 
     def export_kv(self, request_id: str) -> tuple[list[str], dict] | None:
         """Stop a request; return its tokens and KV cache.
 
-        ``None`` if the server didn't confirm that it stopped.
+        Returns ``None`` if the server didn't confirm that it stopped the request.
         """
-        answer = self._send_command("/kv/export", {"request_id": request_id})
-        return None if answer is None else (answer["tokens"], answer["blob"])
+        reply = self._send_command("/kv/export", {"request_id": request_id})
+        return None if reply is None else (reply["tokens"], reply["blob"])
 
     def cancel(self, request_id: str) -> list[str] | None:
-        """Stop a request; return its tokens, or ``None`` if that isn't confirmed."""
-        answer = self._send_command("/cancel", {"request_id": request_id})
-        if answer is None or not answer["stopped"]:
+        """Stop a request; return its tokens, or ``None`` if it isn't confirmed."""
+        reply = self._send_command("/cancel", {"request_id": request_id})
+        if reply is None or not reply["stopped"]:
             return None
-        return answer["tokens"]
+        return reply["tokens"]
 
     def _send_command(self, path: str, body: dict) -> dict | None:
         try:
@@ -247,15 +260,17 @@
             self._release_connection(finished)
         if not finished:
             raise BackendError(
-                "the stream ended early", started=True, reason=RetryReason.SERVER_FAILED
+                "stream ended before the finish reason",
+                started=True,
+                reason=RetryReason.SERVER_FAILED,
             )
 
     def _release_connection(self, finished: bool) -> None:
-        """Keep the connection for the next call, if the server has ended its answer.
+        """Return the connection to the pool if the response is complete, or close it.
 
-        What follows the last piece must be read, or the next call finds unread bytes
-        on the connection, drops it and connects anew. It is read beside the answer's
-        way to the caller, which is whole already and waits for nothing.
+        The bytes after the last piece must be read first, or the next request finds
+        unread bytes on the connection, drops it and opens a new one. A greenlet of its
+        own reads them, so that the caller does not wait for it.
         """
         if finished:
             gevent.spawn(self._drain)
@@ -263,7 +278,7 @@
             self.response.close()
 
     def _drain(self) -> None:
-        """Read the answer's end and keep the connection, or give it up."""
+        """Read the response's end and pool the connection; close it on a time-out."""
         with gevent.Timeout(RESPONSE_END_TIMEOUT_S, False):
             self.response.drain_conn()
             self.response.release_conn()
@@ -271,19 +286,19 @@
         self.response.close()
 
     def close(self) -> None:
-        """Cut the attempt off; the greenlet that reads gets a BackendError."""
+        """Abort the attempt; the greenlet that reads it gets a BackendError."""
         if self.response is not None:
             self.response.close()
 
 
 def split_events(buffer: bytes) -> tuple[list[bytes], bytes]:
-    """Return the data of all whole events in `buffer`, and the rest."""
+    """Return the data of all complete events in `buffer`, and the remaining bytes."""
     *whole, rest = buffer.split(EVENT_END)
     return [event.removeprefix(EVENT_START) for event in whole], rest
 
 
 def decode_piece(data: bytes) -> Piece:
-    """Return the piece that one engine event holds."""
+    """Return the piece in the data of one engine event."""
     event = _event_decoder.decode(data)
     choice = event.choices[0]
     text = choice.delta.content if choice.delta is not None else choice.text
@@ -291,13 +306,14 @@
 
 
 def check_status(response) -> None:
-    """Raise unless the server started to answer.
+    """Check that the server accepted the request.
 
     Raises
     ------
     BackendError
-        A 503 that says ``executed: no`` did not start; a 4xx is the server's last
-        word on this request; anything else may have run.
+        For a status other than 200. After a 503 with ``"executed":"no"`` and after a
+        4xx the request did not start, and the 4xx is final: no other server would
+        accept it either. After any other status it may have run.
     """
     if response.status == 200:
         return
@@ -309,7 +325,7 @@
         )
     rejection_status = response.status if 400 <= response.status < 500 else None
     raise BackendError(
-        f"the server answered {response.status}",
+        f"the server responded with status {response.status}",
         started=rejection_status is None,
         reason=RetryReason.SERVER_FAILED,
         final_status=rejection_status,
@@ -317,19 +333,19 @@
 
 
 class PlainServer:
-    """One server of a plain service: one call, one whole answer."""
+    """Client of one server of a plain service: one request, one complete response."""
 
     def __init__(self, clients: BackendClients, address: str) -> None:
         self.clients = clients
         self.address = address
 
     def call(self, request: Request, attempt: int, data: bytes) -> PlainResponse:
-        """Send the call and return the whole answer.
+        """Send the request and return the complete response.
 
         Raises
         ------
         BackendError
-            If no whole answer came, or the server refused before starting.
+            If the response was incomplete, or the server refused before starting.
         """
         response = self.clients.open(
             request.method,
--- a/packages/endive_node/src/endive_node/callers.py
+++ b/packages/endive_node/src/endive_node/callers.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP API: completions, chats, plain services, and resuming answers."""
+"""HTTP API for callers: completions, chats, plain services, resumed responses."""
 
 import math
 import time
@@ -28,7 +28,7 @@
 
 
 class CallerApi:
-    """What callers reach on the node's public port.
+    """The HTTP API on the node's public port.
 
     Attributes
     ----------
@@ -55,7 +55,7 @@
         self.app.default_error_handler = self.handle_http_error
 
     def models(self):
-        """List the models that callers may ask for, as their client libraries do."""
+        """List the models that callers may name, as client libraries request it."""
         try:
             self._organisation()
         except EndiveError as error:
@@ -70,7 +70,7 @@
         }
 
     def generate(self, endpoint: Endpoint):
-        """Answer a completion or a chat."""
+        """Handle a completion or a chat request."""
         run = None
         try:
             run = self.serving.accept(self._completion_request(endpoint))
@@ -79,7 +79,7 @@
             return self._refuse(error, request_id=request_id_of(run))
 
     def resume(self, request_id: str):
-        """Go on with an answer from the index in ``Last-Event-ID`` or ``from``."""
+        """Resume a response from the index in ``Last-Event-ID`` or ``from``."""
         try:
             organisation = self._organisation()
             run = self._find_run(organisation, request_id)
@@ -95,12 +95,12 @@
             run = self.serving.request_locator.find_id(organisation, request_id)
         if run is None:
             raise EndiveError(
-                ErrorKind.UNKNOWN_REQUEST, "no node that was asked knows the request"
+                ErrorKind.UNKNOWN_REQUEST, "no node that was queried knows the request"
             )
         return run
 
     def call_service(self, service: str, path: str):
-        """Pass a call on to a plain service."""
+        """Forward a call to a plain service."""
         run = None
         try:
             run = self.serving.accept(self._service_request(service, path))
@@ -111,7 +111,7 @@
         return plain_response(run.record)
 
     def health(self):
-        """Tell the platform's balancer whether to send calls here."""
+        """Tell the platform's load balancer whether to send calls to this node."""
         leaving = self.serving.leaving or self.serving.stopping
         if leaving or not self.is_ready():
             bottle.response.status = 503
@@ -119,22 +119,27 @@
         return "ok\n"
 
     def handle_http_error(self, error: bottle.HTTPError) -> bytes:
-        """Answer what bottle itself refuses, in the shape of all other errors."""
+        """Return the API's error body for an error that bottle raised."""
         return http_error_body(error)
 
     def _organisation(self) -> str:
         if not self.is_ready():
-            raise EndiveError(ErrorKind.NOT_READY, "this node has no configuration yet")
+            raise EndiveError(
+                ErrorKind.NOT_READY, "this node has not loaded its configuration yet"
+            )
         header = bottle.request.get_header("Authorization", "")
         if not header.startswith(BEARER):
-            raise EndiveError(ErrorKind.UNAUTHENTICATED, "a bearer key is required")
+            raise EndiveError(
+                ErrorKind.UNAUTHENTICATED,
+                "an Authorization header with a bearer key is required",
+            )
         return self.serving.catalogue.organisation_for(header.removeprefix(BEARER))
 
     def _read_body(self) -> bytes:
         length = bottle.request.content_length
         too_large = EndiveError(
             ErrorKind.BODY_TOO_LARGE,
-            f"the body is over {self.max_body_bytes} bytes",
+            f"the request body is larger than {self.max_body_bytes} bytes",
         )
         if length > self.max_body_bytes:
             raise too_large
@@ -192,14 +197,14 @@
             "deadline": self._deadline(),
             "key": headers.get("Idempotency-Key", ""),
             "key_time": seconds_header(
-                "Endive-Key-Time", "seconds since 1970, when the key was first sent"
+                "Endive-Key-Time", "a Unix time in seconds: when the key was first sent"
             ),
             "non_idempotent": headers.get("Endive-Non-Idempotent", "").lower()
             == "true",
         }
 
     def _deadline(self) -> float | None:
-        seconds = seconds_header("Endive-Deadline-S", "seconds over 0")
+        seconds = seconds_header("Endive-Deadline-S", "a positive number of seconds")
         return None if seconds is None else self.serving.clock.now() + seconds
 
     def _start_index(self) -> int:
@@ -208,7 +213,8 @@
         )
         if not text.isdecimal():
             raise EndiveError(
-                ErrorKind.INVALID_FIELD, "the index to go on from must be a number"
+                ErrorKind.INVALID_FIELD,
+                "Last-Event-ID or from must be the index to resume at, a whole number",
             )
         return int(text)
 
@@ -234,17 +240,17 @@
 
 
 def request_id_of(run: Run | None) -> str:
-    """Return the id under which a caller can come back, if the call was accepted."""
+    """Return the id of the call's request; empty if it was not accepted."""
     return "" if run is None else run.record.request.request_id
 
 
 def seconds_header(name: str, meaning: str) -> float | None:
-    """Return the seconds in a call's header, or ``None`` if it has no such header.
+    """Return the seconds in a request header, or ``None`` if it is absent.
 
     Raises
     ------
     EndiveError
-        ``invalid_field`` unless they are a finite number over 0.
+        ``invalid_field`` if the value is not a positive, finite number.
     """
     text = bottle.request.get_header(name)
     if text is None:
@@ -269,23 +275,23 @@
 
 
 def http_error_body(error: bottle.HTTPError) -> bytes:
-    """Return the body for an error that bottle raised: a path, method or crash."""
+    """Return the body for an unknown path or method, or an unhandled exception."""
     if error.status_code in (404, 405):
-        kind, message = ErrorKind.NOT_FOUND, "no such path or method"
+        kind, message = ErrorKind.NOT_FOUND, "unknown path or method"
     else:
-        kind, message = ErrorKind.INTERNAL, "an internal error"
+        kind, message = ErrorKind.INTERNAL, "internal error"
         log_event("call_crashed", error=repr(error.exception))
     error.content_type = "application/json"
     return encode_json(EndiveError(kind, message).to_body())
 
 
 def response_id(request: Request) -> str:
-    """Return the id that an answer carries, as callers of this API expect it."""
+    """Return the ``id`` field of a response, with the prefix of its API."""
     return ID_PREFIXES[request.endpoint] + request.request_id
 
 
 def plain_response(record: RequestRecord) -> bytes:
-    """Set status and headers of a plain service's answer; return its body."""
+    """Set status and headers of a plain service's response; return its body."""
     response = record.plain_response
     bottle.response.status = response.status
     bottle.response.content_type = response.content_type
@@ -294,7 +300,7 @@
 
 
 def response_body(record: RequestRecord) -> dict:
-    """Return the body of an answer that is not streamed."""
+    """Return the body of a response that is not streamed."""
     request = record.request
     text = "".join(record.tokens)
     choice = {"index": 0, "finish_reason": record.finish_reason}
@@ -317,10 +323,10 @@
 
 
 class EventWriter:
-    """Turns tokens into server-sent events, with all that repeats encoded once.
+    """Encodes tokens as server-sent events; the constant parts are encoded once.
 
-    The event's ``id`` is the index of the token after it: what a caller sends as
-    ``Last-Event-ID`` to go on.
+    The event's ``id`` is the index of the token after it, which a caller sends as
+    ``Last-Event-ID`` to resume.
     """
 
     def __init__(self, request: Request) -> None:
@@ -357,7 +363,8 @@
 ) -> Iterator[bytes]:
     """Yield one chunk of events for each batch of tokens, then ``[DONE]``.
 
-    An error after the first token can no longer be a status: it is an event.
+    An error after the first token can no longer change the status, so it is sent as
+    an event.
     """
     writer = EventWriter(record.request)
     index = start
--- a/packages/endive_node/src/endive_node/listeners.py
+++ b/packages/endive_node/src/endive_node/listeners.py
@@ -1,4 +1,4 @@
-"""HTTP listeners: bottle applications on gevent's server, without Nagle's delay."""
+"""HTTP listeners: WSGI applications on gevent's server, with TCP_NODELAY set."""
 
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
@@ -6,10 +6,10 @@
 
 
 class CountingHandler(WSGIHandler):
-    """Handler that counts the calls whose answers are not yet written out."""
+    """Handler that counts the calls whose responses are not yet written."""
 
     def handle_one_response(self) -> None:
-        """Answer one call."""
+        """Handle one call and count it while it is in progress."""
         self.server.calls_in_progress += 1
         try:
             super().handle_one_response()
@@ -18,7 +18,7 @@
 
 
 class HttpListener:
-    """One bottle application on one port, started and stopped as a whole."""
+    """One WSGI application on one port."""
 
     def __init__(self, app, address: str, port: int) -> None:
         self.socket = listen_tcp(address, port)
@@ -30,18 +30,18 @@
 
     @property
     def calls_in_progress(self) -> int:
-        """Number of calls that are being answered."""
+        """Number of calls whose responses are not yet written."""
         return self.server.calls_in_progress
 
     def start(self) -> None:
-        """Begin to accept calls."""
+        """Start to accept calls."""
         self.server.start()
 
     def stop_accepting(self) -> None:
-        """Close the port; calls under way go on."""
+        """Close the port; calls in progress continue."""
         self.server.stop_accepting()
         self.server.close()
 
     def stop(self, timeout_s: float) -> None:
-        """Close the port and wait up to `timeout_s` seconds for calls under way."""
+        """Close the port and wait up to `timeout_s` seconds for calls in progress."""
         self.server.stop(timeout=timeout_s)
--- a/packages/endive_node/tests/test_backends.py
+++ b/packages/endive_node/tests/test_backends.py
@@ -5,7 +5,7 @@
 
 
 class Pool:
-    """A connection pool whose calls end as scripted."""
+    """A connection pool whose requests end as scripted."""
 
     def __init__(self, *script):
         self.script = list(script)
@@ -31,23 +31,23 @@
     return urllib3.exceptions.ProtocolError("connection reset")
 
 
-def test_server_that_is_still_closing_its_sockets_is_seen_as_crashed():
-    """A process dies and its sockets close one after the other: the stream breaks, a
-    kept connection is reset, and only then is the port refused. Taken for alive at
-    the second, the server's crash is not counted against the request, which takes
-    another server down."""
+def test_server_that_is_still_closing_its_sockets_counts_as_crashed():
+    """A dying process closes its sockets one after the other: the stream breaks, a
+    pooled connection is reset, and only then is the port refused. If the server counts
+    as alive after the reset, its crash is not counted against the request, which then
+    crashes another server."""
     assert not clients(reset(), reset(), refused()).is_listening("127.0.0.1:1")
 
 
-def test_server_that_answers_or_hangs_did_not_crash():
-    answer = urllib3.HTTPResponse(body=b"{}", status=200)
-    assert clients(reset(), answer).is_listening("127.0.0.1:1")
+def test_server_that_responds_or_hangs_did_not_crash():
+    response = urllib3.HTTPResponse(body=b"{}", status=200)
+    assert clients(reset(), response).is_listening("127.0.0.1:1")
     hangs = [urllib3.exceptions.ReadTimeoutError(None, "", "slow") for _ in range(9)]
     assert clients(*hangs).is_listening("127.0.0.1:1")
 
 
 class Response:
-    """A whole answer whose end takes `seconds` to come."""
+    """A complete response whose end arrives after `seconds`."""
 
     def __init__(self, seconds):
         self.seconds = seconds
@@ -64,7 +64,7 @@
         self.done.append("closed")
 
 
-def given_back(response, *, finished=True):
+def release_events(response, *, finished=True):
     engine = clients().engine("127.0.0.1:1")
     engine.response = response
     engine._release_connection(finished)
@@ -73,12 +73,12 @@
     return response.done
 
 
-def test_connection_is_drained_before_it_is_kept():
-    """The end of an answer stayed unread on a kept connection, so that the next call
-    dropped it: every call connected anew."""
-    assert given_back(Response(0.0)) == ["drained", "released"]
+def test_connection_is_drained_before_it_is_pooled():
+    """If the end of a response stays unread on a pooled connection, the next request
+    drops the connection, and every request opens a new one."""
+    assert release_events(Response(0.0)) == ["drained", "released"]
 
 
-def test_server_that_is_slow_to_end_an_answer_loses_its_connection():
-    assert given_back(Response(5.0)) == ["closed"]
-    assert given_back(Response(0.0), finished=False) == ["closed"]
+def test_connection_of_a_server_that_is_slow_to_end_a_response_is_closed():
+    assert release_events(Response(5.0)) == ["closed"]
+    assert release_events(Response(0.0), finished=False) == ["closed"]
--- a/packages/endive_node/tests/test_listeners.py
+++ b/packages/endive_node/tests/test_listeners.py
@@ -7,10 +7,10 @@
 CALLS = 20
 EVENTS = 30
 EVENT = b"data: token\n\n"
-END_OF_ANSWER = b"0\r\n\r\n"
-MOST_TIMES_SLOWER = 25
-"""Small events cost a few times one large one; a stall of 40 ms a call costs over a
-hundred times as much."""
+RESPONSE_END = b"0\r\n\r\n"
+MAX_SLOWDOWN = 25
+"""Small events take a few times as long as one large one; a stall of 40 ms for each
+call takes over a hundred times as long."""
 
 
 def application(environ, start_response):
@@ -31,18 +31,18 @@
         started = time.perf_counter()
         connection.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         data = b""
-        while not data.endswith(END_OF_ANSWER):
+        while not data.endswith(RESPONSE_END):
             data += connection.recv(65536)
         took.append(time.perf_counter() - started)
     connection.close()
     return took
 
 
-def least(listener, path, runs):
-    """Return the seconds of CALLS calls, of each the shortest of some runs.
+def fastest_seconds(listener, path, runs):
+    """Return the seconds of CALLS calls, taking for each the shortest of `runs` runs.
 
-    A stall is there in each run. Other processes disturb a call now and then, and a
-    whole run nearly always once they are many.
+    A stall occurs in every run. Other processes on the machine delay single calls, and
+    while there are many of them almost every run contains a delayed call.
     """
     listener.start()
     try:
@@ -54,23 +54,25 @@
 
 
 def slowdown(listener):
-    """Return how many times longer many small events take than one large one."""
-    large = least(HttpListener(application, "127.0.0.1", 0), "/large", runs=30)
-    return least(listener, "/small", runs=9) / large
+    """Return how many times as long many small events take as one large one."""
+    large = fastest_seconds(
+        HttpListener(application, "127.0.0.1", 0), "/large", runs=30
+    )
+    return fastest_seconds(listener, "/small", runs=9) / large
 
 
-def test_small_events_are_not_held_back():
+def test_small_events_are_not_delayed():
     """Nagle's algorithm waits for the receiver's delayed ACK before it sends the next
-    small write, so a caller sees the tokens of a stream in bursts, 40 ms apart."""
-    assert slowdown(HttpListener(application, "127.0.0.1", 0)) < MOST_TIMES_SLOWER
+    small write, so that a caller gets a stream's tokens in bursts 40 ms apart."""
+    assert slowdown(HttpListener(application, "127.0.0.1", 0)) < MAX_SLOWDOWN
 
 
 def test_the_check_fails_without_tcp_nodelay():
-    """The same measurement with the option taken off again shows the stall, so the
-    check above is known to be able to fail."""
+    """The same measurement without the option shows the stall, so the check above can
+    fail."""
     listener = HttpListener(application, "127.0.0.1", 0)
     listener.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 0)
-    assert slowdown(listener) > MOST_TIMES_SLOWER
+    assert slowdown(listener) > MAX_SLOWDOWN
 
 
 def test_accepted_connections_inherit_the_option():
