--- a/packages/endive_node/src/endive_node/claiming.py
+++ b/packages/endive_node/src/endive_node/claiming.py
@@ -1,9 +1,10 @@
-"""Claims of non-idempotent requests, through the log.
+"""Claims of non-idempotent requests, decided by the order of the log.
 
-A claim goes to the node that writes its key's shard, is appended there together with
-others, read back, and decided by :class:`endive_core.claims.ClaimTable`. Which node
-writes a shard matters only for batching: two that both do stay correct, since the log
-orders their records.
+A claim is sent to the node that writes its key's shard. That node appends it to the log
+in a batch, reads it back, and decides it with
+:class:`endive_core.claims.ClaimTable`. Which node writes a shard matters only for
+batching: if two nodes write one, the result is still correct, since the log orders
+their records.
 """
 
 import contextlib
@@ -36,23 +37,32 @@
 from endive_node.telemetry import Metrics
 
 WRITER_BACKOFF_S = 2.0
-"""How long a writer that did not answer is passed over, so that a paused node costs
-one claim a time-out and not each."""
+"""Seconds for which a writer that did not respond is skipped, so that a stalled node
+costs one claim a time-out and not every claim."""
 
 OWN_RELEASE_RETRY_S = 0.1
 MAX_IDLE_CONNECTIONS = 8
 MAX_REMOTE_WRITERS = 2
-"""Other nodes that are asked before a node appends its claim itself."""
+"""Other nodes that are tried before a node appends its claim itself."""
 
 CLOCK_SKEW_S = 60.0
-"""Allowance for callers' clocks in the time at which a key was first sent."""
+"""Seconds by which a caller's clock may be wrong in the time of a key's first use."""
 
 
 class LogClaims:
-    """Claims as :class:`endive_node.interfaces.Claims`, decided by the log.
-
-    Callers meet it as ``duplicate_request``, ``key_reused``, ``key_expired`` and
-    ``log_unavailable``.
+    """Implements :class:`endive_node.interfaces.Claims` with the log.
+
+    Callers see its errors as ``duplicate_request``, ``key_reused``, ``key_expired``
+    and ``log_unavailable``.
+
+    Attributes
+    ----------
+    writers : dict
+        This node's shard writers, by shard.
+    backoff_until : dict
+        By node id, the time until which the node is not tried as a writer.
+    connections : dict
+        Idle connections by peer address.
     """
 
     def __init__(
@@ -80,7 +90,7 @@
         self.unreleased = metrics.counter("endive_claims_not_released")
         self.wait = metrics.meter.create_histogram("endive_claim_seconds", unit="s")
 
-    # For the node's own requests
+    # Claims of this node's own requests
 
     def check_age(self, request: Request) -> None:
         """Refuse a key that was first sent longer ago than claims are kept.
@@ -88,7 +98,7 @@
         Raises
         ------
         EndiveError
-            ``key_expired``: whether it ran can't be known any more.
+            ``key_expired``: it is no longer known whether the request ran.
         """
         if request.key_time is None:
             return
@@ -125,8 +135,8 @@
                     holder_node=holder.node if holder else "",
                 )
                 raise claim_lost_error(request, holder)
-            # An earlier try of this same request was withdrawn, here or at the node
-            # that handed it over, and its release is still on its way.
+            # An earlier claim of this same request was withdrawn, here or at the node
+            # that handed it over, and its release is not in the log yet.
             gevent.sleep(OWN_RELEASE_RETRY_S)
 
     def _attempt(self, request: Request, key: str, deadline: float) -> Claimant:
@@ -142,8 +152,8 @@
         try:
             outcome = self._decide(claimant.claim, deadline)
         except BaseException:
-            # Also when the request is paused for a handover: whatever the log holds
-            # of this claim, or will hold, it must never be used.
+            # RunPaused during a handover included: the claim may be in the log, or
+            # still arrive there, and must never be used.
             self.withdraw(claimant)
             raise
         release = claimant.settle(outcome)
@@ -152,7 +162,7 @@
         return claimant
 
     def withdraw(self, claimant: Claimant) -> None:
-        """Withdraw a claim that was not used, and free its key for the next try."""
+        """Withdraw an unused claim, and release its key for the next claim."""
         if claimant.state not in (ClaimState.PENDING, ClaimState.HELD):
             return
         release = claimant.withdraw()
@@ -174,10 +184,10 @@
             except PeerUnavailableError as error:
                 log_event("claim_writer_silent", peer=member.id, error=error)
                 self.backoff_until[member.id] = self.clock.now() + WRITER_BACKOFF_S
-        raise log_unavailable("no node could write the claim in time")
+        raise log_unavailable("no node appended the claim to the log in time")
 
     def _candidates(self, shard: int) -> list[Member]:
-        """Return whom to ask: the shard's writer, the next one, then this node."""
+        """Return the nodes to try: the shard's writer, the next one, then this node."""
         now = self.clock.now()
         live = {member.id: member for member in self.members.live()}
         candidates: list[Member] = []
@@ -192,17 +202,17 @@
         self, member: Member, claim: Claim, timeout_s: float
     ) -> ClaimOutcome:
         try:
-            answer = self._call(member, "claim", timeout_s, encode(claim))
+            reply = self._call(member, "claim", timeout_s, encode(claim))
         except IDL.PeerError as error:
             raise log_unavailable(error.message) from None
-        holder = decode(answer.holder) if answer.holder else None
-        return ClaimOutcome(claim.claim_id, ClaimVerdict(answer.verdict), holder)
+        holder = decode(reply.holder) if reply.holder else None
+        return ClaimOutcome(claim.claim_id, ClaimVerdict(reply.verdict), holder)
 
     def _call(self, member: Member, method: str, timeout_s: float, *arguments):
-        """Call `method` over a kept connection, or a new one.
+        """Call `method` over an idle connection, or a new one.
 
-        A kept connection may long be closed at the other end, which shows only when
-        it is used; claims and releases can be sent twice, so a new one is tried.
+        The peer may have closed an idle connection, which shows only when it is used.
+        Claims and releases may be sent twice, so the call is repeated on the next one.
         """
         idle = self.connections.setdefault(member.peer_address, [])
         with time_limit(timeout_s):
@@ -215,9 +225,9 @@
     def _call_on(self, connection: PeerConnection, idle, method: str, arguments):
         usable = False
         try:
-            answer = connection.call(method, *arguments)
+            reply = connection.call(method, *arguments)
             usable = True
-            return answer
+            return reply
         except IDL.PeerError:
             usable = True
             raise
@@ -231,7 +241,7 @@
         gevent.spawn(self._release, release)
 
     def _release(self, release: Release) -> None:
-        """Have the release appended, by the writer or else by this node."""
+        """Append the release through the shard's writer, or else at this node."""
         shard = claim_shard(release.key)
         for member in self._candidates(shard):
             if member.id == self.node_id:
@@ -245,10 +255,10 @@
                 log_event("release_writer_silent", peer=member.id, error=error)
                 self.backoff_until[member.id] = self.clock.now() + WRITER_BACKOFF_S
 
-    # For other nodes
+    # Claims of other nodes
 
     def writer(self, shard: int) -> ShardWriter:
-        """Return this node's writer of `shard`."""
+        """Return this node's writer of `shard`, creating it if there is none."""
         if shard not in self.writers:
             self.writers[shard] = ShardWriter(
                 shard, self.log, self.clock, self.settings, self.metrics
@@ -256,7 +266,7 @@
         return self.writers[shard]
 
     def take_claim(self, record: str):
-        """Decide a claim for another node."""
+        """Decide the claim that another node sent; return an ``IDL.ClaimAnswer``."""
         claim = decode(record)
         writer = self.writer(claim_shard(claim.key))
         try:
@@ -267,14 +277,14 @@
         return IDL.ClaimAnswer(verdict=str(outcome.verdict), holder=holder)
 
     def take_release(self, record: str) -> None:
-        """Append a release for another node."""
+        """Append the release that another node sent."""
         release = decode(record)
         self.writer(claim_shard(release.key)).release(release)
 
 
 @contextlib.contextmanager
 def time_limit(seconds: float):
-    """End what runs inside as an unavailable peer once `seconds` have passed."""
+    """Raise PeerUnavailableError in the block once `seconds` have passed."""
     timeout = gevent.Timeout(seconds)
     try:
         with timeout:
@@ -282,29 +292,31 @@
     except gevent.Timeout as error:
         if error is not timeout:
             raise
-        raise PeerUnavailableError(f"no answer within {seconds} s") from None
+        raise PeerUnavailableError(f"no response within {seconds} s") from None
 
 
 def claim_key(request: Request, continues: int) -> str:
-    """Return the key to claim; a continued request has one of its own.
+    """Return the key to claim; a continued request has a key of its own.
 
-    The claim of the key itself was used by the node that sent the request first and
-    so stays for ever; going on after a server confirmed that it stopped is a right of
-    its own, of which again only one node may make use.
+    The first sender used the claim of the key itself, so that claim is held
+    permanently. Continuing after a server confirmed that it stopped needs a claim of
+    its own, which again only one node can hold.
     """
     key = f"{request.organisation}/{request.key}"
     return f"{key}#{continues}" if continues else key
 
 
 def claim_lost_error(request: Request, holder: Claim | None) -> EndiveError:
-    """Return the answer to a request whose key another one holds."""
+    """Return the error for a request whose key another one holds."""
     if holder is not None and holder.fingerprint != request.fingerprint:
         return EndiveError(
-            ErrorKind.KEY_REUSED, "the idempotency key was used for another request"
+            ErrorKind.KEY_REUSED,
+            "the idempotency key was already used for a different request",
         )
     holder_id = holder.request_id if holder else ""
     return EndiveError(
         ErrorKind.DUPLICATE_REQUEST,
-        "another request holds the key; its answer is at GET /v1/requests/ID",
+        "another request holds the idempotency key; read its response with "
+        "GET /v1/requests/ID",
         details={"holder_request_id": holder_id},
     )
--- a/packages/endive_node/src/endive_node/pending_moves.py
+++ b/packages/endive_node/src/endive_node/pending_moves.py
@@ -1,17 +1,24 @@
-"""A stream's move off a backend server, as mover and driver share it."""
+"""The move of a stream off a backend server, shared by its mover and its driver."""
 
 from gevent.event import Event
 
 MOVE_TIMEOUT_S = 2.0
-"""Longest an attempt that was cut off waits to hear whether its stream has moved."""
+"""Seconds for which an attempt that was stopped waits for the result of the move."""
 
 
 class PendingMove:
-    """A stream on its way off a server: who stops it there fills in what it had.
+    """A stream that leaves its server.
+
+    The StreamMover that stops the stream sets the result; the run's driver waits for
+    it and continues elsewhere.
 
     Attributes
     ----------
-    blob : dict or None
+    tokens : list of str
+        The whole response so far, as the server reported it.
+    stopped : bool
+        Whether the server confirmed that the stream stopped.
+    kv_cache : dict or None
         The exported KV cache; without it the next server computes prompt and tokens
         again.
     """
@@ -25,12 +32,20 @@
     def set_result(
         self, tokens: list[str] | None, kv_cache: dict | None = None
     ) -> None:
-        """Note what the server gave up, or with ``None`` that it did not answer."""
+        """Set the tokens and KV cache that the server returned.
+
+        Parameters
+        ----------
+        tokens : list of str or None
+            ``None`` if the server did not confirm that it stopped the stream.
+        kv_cache : dict, optional
+            The exported KV cache.
+        """
         self.stopped = tokens is not None
         self.tokens = tokens or []
         self.kv_cache = kv_cache
         self.done.set()
 
     def wait(self) -> bool:
-        """Return whether the server confirmed that the stream stopped there."""
+        """Wait for the result; return whether the server confirmed the stop."""
         return self.done.wait(MOVE_TIMEOUT_S) and self.stopped
--- a/packages/endive_node/src/endive_node/request_lookup.py
+++ b/packages/endive_node/src/endive_node/request_lookup.py
@@ -1,4 +1,4 @@
-"""Finding the node that holds a request, and passing its answer on."""
+"""Lookup of the node that holds a request, and relay of its response."""
 
 from collections.abc import Iterator
 
@@ -21,15 +21,17 @@
 from endive_node.request_registry import RequestRecord, read_tokens
 
 LOOKUP_TIMEOUT_S = 0.5
-"""A lookup asks nodes that may be dead; a live one answers in milliseconds."""
+"""Seconds. A lookup queries nodes that may be dead; a live one responds in
+milliseconds."""
 
 MORE_LOOKUP_CANDIDATES = 8
-"""Asked when the likely ones do not know it: after a zone's worth of nodes has been
-replaced, more than two new ones may come before the holder in the order."""
+"""Nodes queried when the first candidates do not know the request: after all nodes of a
+zone have been replaced, more than two new ones may precede the holder in the order."""
 
 PAGE_WAIT_S = 1.0
 HOLDER_SEARCH_TIMEOUT_S = 4.0
-"""How long a holder that went silent is looked for: a notice's few seconds."""
+"""Seconds for which a new holder is searched after the known one stopped responding;
+a reclaim notice lasts a few seconds."""
 
 HOLDER_SEARCH_PAUSE_S = 0.1
 
@@ -37,7 +39,7 @@
 class Locator:
     """Finds requests that other nodes hold, by id or by idempotency key.
 
-    Callers meet it when they resume an answer at a node that did not accept it.
+    It serves callers that resume a response at a node that did not accept the request.
     """
 
     def __init__(
@@ -55,8 +57,8 @@
     def find_key(self, organisation: str, key: str) -> "RemoteRun | None":
         """Return the run that was started with `key`, if it may have moved.
 
-        Outside a reclaim nobody is asked: it would cost each request with a key a
-        round trip to three nodes.
+        Nodes are queried only after a recent reclaim notice: otherwise each request
+        with a key would cost a round trip to three nodes.
         """
         if not self.notices.has_recent():
             return None
@@ -70,7 +72,7 @@
     def find_holder(self, lookup: "Lookup"):
         """Return (address, first page) of the node that holds the request, or ``None``.
 
-        All candidates are asked at once, since a dead one costs a time-out.
+        All candidates are queried at once, since a dead one costs a time-out.
         """
         order = self._candidates(lookup)
         for addresses in (
@@ -92,7 +94,7 @@
             without=own,
         )
         origin = origin_in(lookup.request_id)
-        # Also one that is leaving: it goes on answering, or knows who does.
+        # Even if it is leaving: it still holds the response, or knows who does.
         known = None if origin == self.node_id else self.members.get(origin)
         first = [] if known is None else [known]
         addresses = [member.peer_address for member in first + order]
@@ -122,7 +124,7 @@
 
 
 class Lookup:
-    """What a request is looked for by."""
+    """Keys by which a request is looked up."""
 
     def __init__(
         self, organisation: str, request_id: str, route: str, key: str = ""
@@ -133,7 +135,7 @@
         self.key = key
 
     def arguments(self, start: int, wait_s: float) -> tuple:
-        """Return the arguments of ``read_answer``."""
+        """Return the arguments of ``read_answer``; it waits up to `wait_s` seconds."""
         return (self.organisation, self.request_id, self.key, start, wait_s)
 
 
@@ -143,7 +145,7 @@
     Attributes
     ----------
     record : RequestRecord
-        Copy of the answer so far; its ``request`` is only the request's head.
+        Copy of the response so far; its ``request`` holds only the request's metadata.
     """
 
     moved = False
@@ -161,17 +163,17 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether the request ended and no server ran anything of it."""
+        """Whether the request ended without any server having run it."""
         error = self.record.error
         return error is not None and error.executed is Executed.NO
 
     def read(self, start: int = 0) -> Iterator[list[str]]:
-        """Yield the answer's tokens from index `start`, as they come.
+        """Yield the response's tokens from index `start` as they arrive.
 
         Raises
         ------
         EndiveError
-            Where the answer ends in an error, or no node holds it any more.
+            If the response ends in an error, or no node holds it any more.
         """
         try:
             yield from read_tokens(self.record, start, self._read_next_page)
@@ -179,7 +181,7 @@
             self._close_connection()
 
     def _read_next_page(self) -> None:
-        """Take the next page from the holder, or look for a new holder."""
+        """Append the next page from the holder, or search for a new holder."""
         arguments = self.lookup.arguments(len(self.record.tokens), PAGE_WAIT_S)
         try:
             self.connection = self.connection or PeerConnection(self.address)
@@ -198,13 +200,13 @@
             self.connection = None
 
     def _find_new_holder(self) -> None:
-        """Look for the holder anew: it was reclaimed in its turn, or has died."""
+        """Search for a new holder, as the known one was reclaimed or has died."""
         deadline = self.locator.clock.now() + HOLDER_SEARCH_TIMEOUT_S
         while (found := self.locator.find_holder(self.lookup)) is None:
             if self.locator.clock.now() > deadline:
                 raise EndiveError(
                     ErrorKind.UNKNOWN_REQUEST,
-                    "the node that held the request is gone; send it again",
+                    "the node that held the request is lost; send the request again",
                 )
             gevent.sleep(HOLDER_SEARCH_PAUSE_S)
         self.address = found[0]
@@ -222,7 +224,7 @@
 
 
 def answer_page(run, start: int, moved_to: str = ""):
-    """Return the part of a run's answer from index `start` on."""
+    """Return a run's response from index `start` on, as an ``IDL.AnswerPage``."""
     record = run.record
     response, error = record.plain_response, record.error
     head = b"" if start else msgspec.msgpack.encode(run.head())
--- a/packages/endive_node/src/endive_node/shards.py
+++ b/packages/endive_node/src/endive_node/shards.py
@@ -1,4 +1,4 @@
-"""Writing the claims of one shard: many in one append, read back and decided."""
+"""Batched appends of one shard's claims to the log, and their outcomes."""
 
 import random
 
@@ -21,23 +21,26 @@
 from endive_node.telemetry import Metrics
 
 MAX_BATCH = 500
-"""Records of one append: about 120 kB, a few milliseconds at the log."""
+"""Records of one append: about 120 kB, which the log takes in a few milliseconds."""
 
 LOG_RETRY_PAUSE_S = 0.2
 
 
 class ShardWriter:
-    """Appends and reads back one shard's claims, many in one append.
+    """Appends one shard's claims and releases in batches, and reads them back.
 
-    An idle writer appends at once; a busy one waits until its share of the fleet's
-    append budget allows the next append, and takes all that came meanwhile.
+    An idle writer appends at once. A busy one waits until its share of the cluster's
+    append rate allows the next append, and then appends all records that are pending,
+    up to MAX_BATCH.
 
     Attributes
     ----------
     pending : dict
         Encoded records still to be appended, by id. Appending one twice is harmless.
     waiting : dict
-        Who waits for a claim's decision, by claim id.
+        Results of the callers that wait for a claim's outcome, by claim id.
+    append_interval_s : float
+        Least time between two appends.
     """
 
     def __init__(
@@ -67,8 +70,8 @@
         Raises
         ------
         EndiveError
-            ``log_unavailable`` if that can't be found out in time; the record may be
-            there all the same, or still arrive.
+            ``log_unavailable`` if the outcome isn't known in time; the record may
+            still be in the log, or arrive there later.
         """
         result = AsyncResult()
         self.waiting.setdefault(claim.claim_id, []).append(result)
@@ -89,7 +92,7 @@
         self.pending.pop(claim_id, None)
 
     def release(self, release: Release) -> None:
-        """Append `release` as soon as the log takes it."""
+        """Append `release` as soon as the log accepts it."""
         self._enqueue(f"release {release.claim_id}", encode(release))
 
     def _enqueue(self, name: str, text: str) -> None:
@@ -122,8 +125,8 @@
             gevent.sleep(LOG_RETRY_PAUSE_S)
             return
         except LogOutcomeUnknownError as error:
-            # The records may be there, may still come, or never. What the read below
-            # does not find is appended again: the first copy decides.
+            # The records may be in the log, arrive later, or never. Those that the
+            # read below does not find are appended again: the first copy decides.
             log_event("claim_append_uncertain", stream=self.stream, error=error)
             self._read_to(0)
             self._deliver_outcomes()
@@ -136,16 +139,16 @@
         self._deliver_outcomes()
 
     def _fail_batch(self, batch: dict[str, str], reason: str) -> None:
-        """Tell those who wait that the log took nothing; releases are kept."""
+        """Fail the batch's claims, as the log accepted nothing; keep the releases."""
         for name in batch.keys() & self.waiting.keys():
             for result in self.waiting[name]:
                 result.set_exception(
-                    log_unavailable(f"the log takes no claims: {reason}")
+                    log_unavailable(f"the log did not accept the claim: {reason}")
                 )
             self.pending.pop(name, None)
 
     def _read_to(self, end: int) -> None:
-        """Fold records up to offset `end`, or to the last one there is."""
+        """Read and apply records to the stream's end, and at least to offset `end`."""
         while self.waiting or end == 0:
             try:
                 page = self.log.read(self.stream, self.table.offset + 1)
--- a/packages/endive_node/src/endive_node/stream_mover.py
+++ b/packages/endive_node/src/endive_node/stream_mover.py
@@ -1,4 +1,4 @@
-"""Streams that leave a backend server under notice."""
+"""Moves streams off backend servers that are under a reclaim notice."""
 
 from collections.abc import Iterator
 
@@ -15,15 +15,16 @@
 from endive_node.serving import Serving
 
 MAX_CONCURRENT_EXPORTS = 8
-"""Exports under way at one server: its network is shared by all, so more of them
-would only make the dearest one wait for the others."""
+"""For each server. Exports share the server's network, so more of them at once would
+delay the one that is most expensive to recompute."""
 
 
 class StreamMover:
-    """Moves streams off servers that are being reclaimed, the dearest first.
+    """Moves streams off servers that are being reclaimed.
 
-    What goes wrong without it: the server is killed and each of its streams is
-    computed again from the prompt on, at other servers that are short already.
+    The streams that cost most to recompute go first. Without a move, the server is
+    killed and each of its streams is recomputed from the prompt on, at other servers
+    that are already short of capacity.
     """
 
     def __init__(
@@ -38,10 +39,10 @@
         notices.listeners.append(self.on_notice)
 
     def on_notice(self, notice: Notice) -> None:
-        """Give the servers that `notice` takes no new work, and empty them.
+        """Exclude the servers that `notice` reclaims, and move their streams.
 
-        If this node goes too, it only hands over: exports would hold up the records,
-        and its streams are stopped and go on at other nodes in the same moment.
+        A node that is itself being reclaimed moves no streams: exports would delay its
+        handover, which stops the streams and continues them at other nodes anyway.
         """
         for server in self.mark_leaving_servers():
             if self.serving.handing_over:
@@ -50,7 +51,7 @@
                 gevent.spawn(self.move_streams, server, notice)
 
     def mark_leaving_servers(self) -> list[ServerView]:
-        """Take all servers under notice out of the choice; return them."""
+        """Exclude all servers under notice from placement; return them."""
         found = []
         for server in list(self._servers()):
             if self.notices.notice_for(server.id, server.zone) is not None:
@@ -63,7 +64,7 @@
             yield from views.values()
 
     def move_streams(self, server: ServerView, notice: Notice) -> None:
-        """Move what runs at `server`; the body of a greenlet."""
+        """Move the streams that run at `server`; the body of a greenlet."""
         left_s = notice.ends_at - self.serving.clock.now()
         runs = {
             run.ticket: run
@@ -84,7 +85,7 @@
         pool.join()
 
     def move_stream(self, run: Run, server: ServerView, method: MoveMethod) -> None:
-        """Stop one stream at `server`; its driver goes on elsewhere."""
+        """Stop one stream at `server`; its driver continues it elsewhere."""
         if not is_streaming_from(run, server):
             return
         pending_move = run.pending_move = PendingMove()
