--- a/packages/endive_node/src/endive_node/callers.py
+++ b/packages/endive_node/src/endive_node/callers.py
@@ -292,11 +292,11 @@
 
 def plain_response(record: RequestRecord) -> bytes:
     """Set status and headers of a plain service's response; return its body."""
-    response = record.plain_response
-    bottle.response.status = response.status
-    bottle.response.content_type = response.content_type
+    service_response = record.plain_response
+    bottle.response.status = service_response.status
+    bottle.response.content_type = service_response.content_type
     bottle.response.set_header("X-Request-Id", record.request.request_id)
-    return response.body
+    return service_response.body
 
 
 def response_body(record: RequestRecord) -> dict:
