--- a/packages/endive_node/src/endive_node/attempts.py
+++ b/packages/endive_node/src/endive_node/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one server, and the pieces of its answer."""
+"""One attempt of a request at one server, and the pieces that it returns."""
 
 from collections.abc import Iterator
 from typing import Protocol
@@ -15,18 +15,18 @@
 from endive_node.request_traces import RequestTrace
 
 CANCELLED = "cancelled"
-"""The reason with which an engine ends a sequence that it was told to stop."""
+"""Finish reason of a sequence that an engine stopped on request."""
 
 
 class AttemptedRun(Protocol):
-    """What an attempt needs of its request.
+    """The parts of a run that its attempts use.
 
     Attributes
     ----------
     backend : EngineServer or None
-        The server that streams the answer, for whoever stops it there.
-    blob : dict or None
-        KV cache that a move took from the last server.
+        The server that streams the response, so that the stream can be stopped there.
+    kv_cache : dict or None
+        KV cache that a move exported from the previous server.
     """
 
     context: RunContext
@@ -35,24 +35,24 @@
     lifecycle: Lifecycle
     trace: RequestTrace
     backend: EngineServer | None
-    blob: dict | None
+    kv_cache: dict | None
 
 
 class RunAttempt:
-    """One attempt at one server; raises BackendError where it gives no whole answer."""
+    """One attempt at one server; raises BackendError if the response is incomplete."""
 
     def __init__(self, run: AttemptedRun, server: ServerView) -> None:
         self.run = run
         self.server = server
 
     def steps(self) -> Iterator[None]:
-        """Make the attempt; yield after each batch of pieces."""
+        """Run the attempt; yield after each batch of pieces."""
         if self.run.record.request.endpoint is Endpoint.SERVICE:
-            self._call_plain()
+            self._call_service()
         else:
             yield from self._stream()
 
-    def _call_plain(self) -> None:
+    def _call_service(self) -> None:
         plain = self.run.context.clients.plain(self.server.address)
         request = self.run.record.request
         self.run.record.plain_response = plain.call(
@@ -63,9 +63,9 @@
     def _stream(self) -> Iterator[None]:
         record = self.run.record
         self.run.backend = self.run.context.clients.engine(self.server.address)
-        if self.run.blob is not None:
-            self.run.backend.import_kv(self.run.blob)
-            self.run.blob = None
+        if self.run.kv_cache is not None:
+            self.run.backend.import_kv(self.run.kv_cache)
+            self.run.kv_cache = None
         batches = self.run.backend.run(
             record.request,
             record.attempt,
@@ -75,24 +75,24 @@
         for pieces in batches:
             if pieces[-1].finish_reason == CANCELLED:
                 raise BackendError(
-                    "the server was told to stop",
+                    "the server stopped the stream on request",
                     started=True,
                     reason=RetryReason.SERVER_LEAVING,
                     stopped=True,
                 )
-            self._take(pieces)
+            self._add_pieces(pieces)
             record.wake()
             if record.finish_reason:
                 break
             yield
         if not record.finish_reason:
             raise BackendError(
-                "pieces are missing",
+                "stream ended with pieces missing",
                 started=True,
                 reason=RetryReason.SERVER_FAILED,
             )
 
-    def _take(self, pieces: list[Piece]) -> None:
+    def _add_pieces(self, pieces: list[Piece]) -> None:
         record = self.run.record
         before = len(record.tokens)
         for piece in pieces:
@@ -102,15 +102,15 @@
                 if reason == REORDERED:
                     record.keep_early(piece)
             else:
-                record.take(piece)
-        taken = len(record.tokens) - before
-        if taken and self.run.lifecycle.allows(Event.FIRST_PIECE):
+                record.append(piece)
+        added = len(record.tokens) - before
+        if added and self.run.lifecycle.allows(Event.FIRST_PIECE):
             self.run.lifecycle.fire(Event.FIRST_PIECE)
             self.run.context.dispatcher.started(self.run.ticket)
-        if taken and record.first_token_at is None:
-            self.run.trace.note("first token")
+        if added and record.first_token_at is None:
+            self.run.trace.add_note("first token")
             record.first_token_at = self.run.context.clock.now()
             self.run.context.metrics.first_token.record(
                 record.first_token_at - record.accepted_at
             )
-        self.run.context.metrics.tokens.add(taken)
+        self.run.context.metrics.tokens.add(added)
--- a/packages/endive_node/src/endive_node/callers.py
+++ b/packages/endive_node/src/endive_node/callers.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP API: completions, chats, plain services, and resuming answers."""
+"""HTTP API for callers: completions, chats, plain services, resumed responses."""
 
 import math
 import time
@@ -28,7 +28,7 @@
 
 
 class CallerApi:
-    """What callers reach on the node's public port.
+    """The HTTP API on the node's public port.
 
     Attributes
     ----------
@@ -52,10 +52,10 @@
             self.call_service,
         )
         route("/healthz", "GET", self.health)
-        self.app.default_error_handler = self.answer_http_error
+        self.app.default_error_handler = self.handle_http_error
 
     def models(self):
-        """List the models that callers may ask for, as their client libraries do."""
+        """List the models that callers may name, as client libraries request it."""
         try:
             self._organisation()
         except EndiveError as error:
@@ -70,24 +70,24 @@
         }
 
     def generate(self, endpoint: Endpoint):
-        """Answer a completion or a chat."""
+        """Handle a completion or a chat request."""
         run = None
         try:
-            run = self.serving.accept(self._generation_request(endpoint))
-            return self._answer(run, start=0)
+            run = self.serving.accept(self._completion_request(endpoint))
+            return self._respond(run, start=0)
         except EndiveError as error:
-            return self._refuse(error, request_id=id_of(run))
+            return self._refuse(error, request_id=request_id_of(run))
 
     def resume(self, request_id: str):
-        """Go on with an answer from the index in ``Last-Event-ID`` or ``from``."""
+        """Resume a response from the index in ``Last-Event-ID`` or ``from``."""
         try:
             organisation = self._organisation()
-            run = self._run_of(organisation, request_id)
-            return self._answer(run, start=self._start_index())
+            run = self._find_run(organisation, request_id)
+            return self._respond(run, start=self._start_index())
         except EndiveError as error:
             return self._refuse(error, request_id=request_id)
 
-    def _run_of(self, organisation: str, request_id: str):
+    def _find_run(self, organisation: str, request_id: str):
         run = self.serving.registry.get(request_id)
         if run is not None and run.record.request.organisation != organisation:
             run = None
@@ -95,46 +95,51 @@
             run = self.serving.request_locator.find_id(organisation, request_id)
         if run is None:
             raise EndiveError(
-                ErrorKind.UNKNOWN_REQUEST, "no node that was asked knows the request"
+                ErrorKind.UNKNOWN_REQUEST, "no node that was queried knows the request"
             )
         return run
 
     def call_service(self, service: str, path: str):
-        """Pass a call on to a plain service."""
+        """Forward a call to a plain service."""
         run = None
         try:
             run = self.serving.accept(self._service_request(service, path))
             for _ in run.read():
                 pass
         except EndiveError as error:
-            return self._refuse(error, request_id=id_of(run))
+            return self._refuse(error, request_id=request_id_of(run))
         return plain_response(run.record)
 
     def health(self):
-        """Tell the platform's balancer whether to send calls here."""
+        """Tell the platform's load balancer whether to send calls to this node."""
         leaving = self.serving.leaving or self.serving.stopping
         if leaving or not self.is_ready():
             bottle.response.status = 503
             return "not ready\n"
         return "ok\n"
 
-    def answer_http_error(self, error: bottle.HTTPError) -> bytes:
-        """Answer what bottle itself refuses, in the shape of all other errors."""
+    def handle_http_error(self, error: bottle.HTTPError) -> bytes:
+        """Return the API's error body for an error that bottle raised."""
         return http_error_body(error)
 
     def _organisation(self) -> str:
         if not self.is_ready():
-            raise EndiveError(ErrorKind.NOT_READY, "this node has no configuration yet")
+            raise EndiveError(
+                ErrorKind.NOT_READY, "this node has not loaded its configuration yet"
+            )
         header = bottle.request.get_header("Authorization", "")
         if not header.startswith(BEARER):
-            raise EndiveError(ErrorKind.UNAUTHENTICATED, "a bearer key is required")
+            raise EndiveError(
+                ErrorKind.UNAUTHENTICATED,
+                "an Authorization header with a bearer key is required",
+            )
         return self.serving.catalogue.organisation_for(header.removeprefix(BEARER))
 
     def _read_body(self) -> bytes:
         length = bottle.request.content_length
         too_large = EndiveError(
             ErrorKind.BODY_TOO_LARGE,
-            f"the body is over {self.max_body_bytes} bytes",
+            f"the request body is larger than {self.max_body_bytes} bytes",
         )
         if length > self.max_body_bytes:
             raise too_large
@@ -145,7 +150,7 @@
             raise too_large
         return data
 
-    def _generation_request(self, endpoint: Endpoint) -> Request:
+    def _completion_request(self, endpoint: Endpoint) -> Request:
         organisation = self._organisation()
         body = parse_body(endpoint, self._read_body())
         return Request(
@@ -192,14 +197,14 @@
             "deadline": self._deadline(),
             "key": headers.get("Idempotency-Key", ""),
             "key_time": seconds_header(
-                "Endive-Key-Time", "seconds since 1970, when the key was first sent"
+                "Endive-Key-Time", "a Unix time in seconds: when the key was first sent"
             ),
             "non_idempotent": headers.get("Endive-Non-Idempotent", "").lower()
             == "true",
         }
 
     def _deadline(self) -> float | None:
-        seconds = seconds_header("Endive-Deadline-S", "seconds over 0")
+        seconds = seconds_header("Endive-Deadline-S", "a positive number of seconds")
         return None if seconds is None else self.serving.clock.now() + seconds
 
     def _start_index(self) -> int:
@@ -208,11 +213,12 @@
         )
         if not text.isdecimal():
             raise EndiveError(
-                ErrorKind.INVALID_FIELD, "the index to go on from must be a number"
+                ErrorKind.INVALID_FIELD,
+                "Last-Event-ID or from must be the index to resume at, a whole number",
             )
         return int(text)
 
-    def _answer(self, run: Run, *, start: int):
+    def _respond(self, run: Run, *, start: int):
         request = run.record.request
         bottle.response.set_header("X-Request-Id", request.request_id)
         if not request.stream:
@@ -221,7 +227,7 @@
             if request.endpoint is Endpoint.SERVICE:
                 return plain_response(run.record)
             bottle.response.content_type = "application/json"
-            return encode_json(whole_answer(run.record))
+            return encode_json(response_body(run.record))
         batches = run.read(start)
         first = next(batches, None)
         bottle.response.content_type = EVENT_STREAM
@@ -233,18 +239,18 @@
         return error_response(error, request_id)
 
 
-def id_of(run: Run | None) -> str:
-    """Return the id under which a caller can come back, if the call was accepted."""
+def request_id_of(run: Run | None) -> str:
+    """Return the id of the call's request; empty if it was not accepted."""
     return "" if run is None else run.record.request.request_id
 
 
 def seconds_header(name: str, meaning: str) -> float | None:
-    """Return the seconds in a call's header, or ``None`` if it has no such header.
+    """Return the seconds in a request header, or ``None`` if it is absent.
 
     Raises
     ------
     EndiveError
-        ``invalid_field`` unless they are a finite number over 0.
+        ``invalid_field`` if the value is not a positive, finite number.
     """
     text = bottle.request.get_header(name)
     if text is None:
@@ -269,32 +275,32 @@
 
 
 def http_error_body(error: bottle.HTTPError) -> bytes:
-    """Return the body for an error that bottle raised: a path, method or crash."""
+    """Return the body for an unknown path or method, or an unhandled exception."""
     if error.status_code in (404, 405):
-        kind, message = ErrorKind.NOT_FOUND, "no such path or method"
+        kind, message = ErrorKind.NOT_FOUND, "unknown path or method"
     else:
-        kind, message = ErrorKind.INTERNAL, "an internal error"
+        kind, message = ErrorKind.INTERNAL, "internal error"
         log_event("call_crashed", error=repr(error.exception))
     error.content_type = "application/json"
     return encode_json(EndiveError(kind, message).to_body())
 
 
-def answer_id(request: Request) -> str:
-    """Return the id that an answer carries, as callers of this API expect it."""
+def response_id(request: Request) -> str:
+    """Return the ``id`` field of a response, with the prefix of its API."""
     return ID_PREFIXES[request.endpoint] + request.request_id
 
 
 def plain_response(record: RequestRecord) -> bytes:
-    """Set status and headers of a plain service's answer; return its body."""
-    answer = record.plain_response
-    bottle.response.status = answer.status
-    bottle.response.content_type = answer.content_type
+    """Set status and headers of a plain service's response; return its body."""
+    service_response = record.plain_response
+    bottle.response.status = service_response.status
+    bottle.response.content_type = service_response.content_type
     bottle.response.set_header("X-Request-Id", record.request.request_id)
-    return answer.body
+    return service_response.body
 
 
-def whole_answer(record: RequestRecord) -> dict:
-    """Return the body of an answer that is not streamed."""
+def response_body(record: RequestRecord) -> dict:
+    """Return the body of a response that is not streamed."""
     request = record.request
     text = "".join(record.tokens)
     choice = {"index": 0, "finish_reason": record.finish_reason}
@@ -303,7 +309,7 @@
     else:
         choice["text"] = text
     return {
-        "id": answer_id(request),
+        "id": response_id(request),
         "object": OBJECT_NAMES[request.endpoint][0],
         "created": int(time.time()),
         "model": request.model,
@@ -317,16 +323,16 @@
 
 
 class EventWriter:
-    """Turns tokens into server-sent events, with all that repeats encoded once.
+    """Encodes tokens as server-sent events; the constant parts are encoded once.
 
-    The event's ``id`` is the index of the token after it: what a caller sends as
-    ``Last-Event-ID`` to go on.
+    The event's ``id`` is the index of the token after it, which a caller sends as
+    ``Last-Event-ID`` to resume.
     """
 
     def __init__(self, request: Request) -> None:
         self.chat = request.endpoint is Endpoint.CHAT
         head = {
-            "id": answer_id(request),
+            "id": response_id(request),
             "object": OBJECT_NAMES[request.endpoint][1],
             "created": int(time.time()),
             "model": request.model,
@@ -357,7 +363,8 @@
 ) -> Iterator[bytes]:
     """Yield one chunk of events for each batch of tokens, then ``[DONE]``.
 
-    An error after the first token can no longer be a status: it is an event.
+    An error after the first token can no longer change the status, so it is sent as
+    an event.
     """
     writer = EventWriter(record.request)
     index = start
--- a/packages/endive_node/src/endive_node/shards.py
+++ b/packages/endive_node/src/endive_node/shards.py
@@ -1,4 +1,4 @@
-"""Writing the claims of one shard: many in one append, read back and decided."""
+"""Batched appends of one shard's claims to the log, and their outcomes."""
 
 import random
 
@@ -21,23 +21,26 @@
 from endive_node.telemetry import Metrics
 
 MAX_BATCH = 500
-"""Records of one append: about 120 kB, a few milliseconds at the log."""
+"""Records of one append: about 120 kB, which the log takes in a few milliseconds."""
 
-RETRY_S = 0.2
+LOG_RETRY_PAUSE_S = 0.2
 
 
 class ShardWriter:
-    """Appends and reads back one shard's claims, many in one append.
+    """Appends one shard's claims and releases in batches, and reads them back.
 
-    An idle writer appends at once; a busy one waits until its share of the fleet's
-    append budget allows the next append, and takes all that came meanwhile.
+    An idle writer appends at once. A busy one waits until its share of the cluster's
+    append rate allows the next append, and then appends all records that are pending,
+    up to MAX_BATCH.
 
     Attributes
     ----------
     pending : dict
         Encoded records still to be appended, by id. Appending one twice is harmless.
     waiting : dict
-        Who waits for a claim's decision, by claim id.
+        Results of the callers that wait for a claim's outcome, by claim id.
+    append_interval_s : float
+        Least time between two appends.
     """
 
     def __init__(
@@ -51,12 +54,12 @@
         self.stream = claim_stream(shard)
         self.log = log
         self.clock = clock
-        self.gap_s = CLAIM_SHARDS / settings.appends_per_s
+        self.append_interval_s = CLAIM_SHARDS / settings.appends_per_s
         self.table = ClaimTable(settings.window_s)
         self.pending: dict[str, str] = {}
         self.waiting: dict[str, list[AsyncResult]] = {}
         self.wake = Event()
-        self.last_append = -self.gap_s
+        self.last_append = -self.append_interval_s
         self.appends = metrics.counter("endive_claim_appends")
         self.appended = metrics.counter("endive_claim_records_appended")
         self.greenlet: gevent.Greenlet | None = None
@@ -67,12 +70,12 @@
         Raises
         ------
         EndiveError
-            ``log_unavailable`` if that can't be found out in time; the record may be
-            there all the same, or still arrive.
+            ``log_unavailable`` if the outcome isn't known in time; the record may
+            still be in the log, or arrive there later.
         """
         result = AsyncResult()
         self.waiting.setdefault(claim.claim_id, []).append(result)
-        self._put(claim.claim_id, encode(claim))
+        self._enqueue(claim.claim_id, encode(claim))
         try:
             return result.get(timeout=timeout_s)
         except gevent.Timeout:
@@ -81,18 +84,18 @@
             self._stop_waiting(claim.claim_id, result)
 
     def _stop_waiting(self, claim_id: str, result: AsyncResult) -> None:
-        left = [r for r in self.waiting.get(claim_id, ()) if r is not result]
-        if left:
-            self.waiting[claim_id] = left
+        remaining = [r for r in self.waiting.get(claim_id, ()) if r is not result]
+        if remaining:
+            self.waiting[claim_id] = remaining
             return
         self.waiting.pop(claim_id, None)
         self.pending.pop(claim_id, None)
 
     def release(self, release: Release) -> None:
-        """Append `release` as soon as the log takes it."""
-        self._put(f"release {release.claim_id}", encode(release))
+        """Append `release` as soon as the log accepts it."""
+        self._enqueue(f"release {release.claim_id}", encode(release))
 
-    def _put(self, name: str, text: str) -> None:
+    def _enqueue(self, name: str, text: str) -> None:
         self.pending[name] = text
         self.wake.set()
         if not self.greenlet:
@@ -103,7 +106,9 @@
             self.wake.wait()
             self.wake.clear()
             while self.pending:
-                gevent.sleep(self.last_append + self.gap_s - self.clock.now())
+                gevent.sleep(
+                    self.last_append + self.append_interval_s - self.clock.now()
+                )
                 self._append_and_read()
 
     def _append_and_read(self) -> None:
@@ -116,34 +121,34 @@
         except LogThrottledError:
             return
         except LogUnavailableError as error:
-            self._refuse(batch, str(error))
-            gevent.sleep(RETRY_S)
+            self._fail_batch(batch, str(error))
+            gevent.sleep(LOG_RETRY_PAUSE_S)
             return
         except LogOutcomeUnknownError as error:
-            # The records may be there, may still come, or never. What the read below
-            # does not find is appended again: the first copy decides.
+            # The records may be in the log, arrive later, or never. Those that the
+            # read below does not find are appended again: the first copy decides.
             log_event("claim_append_uncertain", stream=self.stream, error=error)
             self._read_to(0)
-            self._settle()
+            self._deliver_outcomes()
             return
         self.appends.add(1)
         self.appended.add(len(batch))
         for name in batch:
             self.pending.pop(name, None)
         self._read_to(end)
-        self._settle()
+        self._deliver_outcomes()
 
-    def _refuse(self, batch: dict[str, str], reason: str) -> None:
-        """Tell those who wait that the log took nothing; releases are kept."""
+    def _fail_batch(self, batch: dict[str, str], reason: str) -> None:
+        """Fail the batch's claims, as the log accepted nothing; keep the releases."""
         for name in batch.keys() & self.waiting.keys():
             for result in self.waiting[name]:
                 result.set_exception(
-                    log_unavailable(f"the log takes no claims: {reason}")
+                    log_unavailable(f"the log did not accept the claim: {reason}")
                 )
             self.pending.pop(name, None)
 
     def _read_to(self, end: int) -> None:
-        """Fold records up to offset `end`, or to the last one there is."""
+        """Read and apply records to the stream's end, and at least to offset `end`."""
         while self.waiting or end == 0:
             try:
                 page = self.log.read(self.stream, self.table.offset + 1)
@@ -154,14 +159,14 @@
                 log_event("claim_read_failed", stream=self.stream, error=error)
                 if end == 0:
                     return
-                gevent.sleep(RETRY_S)
+                gevent.sleep(LOG_RETRY_PAUSE_S)
                 continue
             for entry in page.entries:
-                self._fold(entry)
+                self._apply_entry(entry)
             if self.table.offset + 1 >= max(end, page.next):
                 return
 
-    def _fold(self, entry) -> None:
+    def _apply_entry(self, entry) -> None:
         try:
             record = decode(entry.body)
         except RecordError as error:
@@ -171,7 +176,7 @@
             self.table.apply(entry.offset, entry.time, record)
         self.table.offset = entry.offset
 
-    def _settle(self) -> None:
+    def _deliver_outcomes(self) -> None:
         for claim_id, results in list(self.waiting.items()):
             outcome = self.table.outcome(claim_id)
             if outcome is not None:
--- a/packages/endive_node/src/endive_node/stream_mover.py
+++ b/packages/endive_node/src/endive_node/stream_mover.py
@@ -1,4 +1,4 @@
-"""Streams that leave a backend server under notice."""
+"""Moves streams off backend servers that are under a reclaim notice."""
 
 from collections.abc import Iterator
 
@@ -14,16 +14,17 @@
 from endive_node.runs import Run
 from endive_node.serving import Serving
 
-AT_ONCE = 8
-"""Exports under way at one server: its network is shared by all, so more of them
-would only make the dearest one wait for the others."""
+MAX_CONCURRENT_EXPORTS = 8
+"""For each server. Exports share the server's network, so more of them at once would
+delay the one that is most expensive to recompute."""
 
 
 class StreamMover:
-    """Moves streams off servers that are being reclaimed, the dearest first.
+    """Moves streams off servers that are being reclaimed.
 
-    What goes wrong without it: the server is killed and each of its streams is
-    computed again from the prompt on, at other servers that are short already.
+    The streams that cost most to recompute go first. Without a move, the server is
+    killed and each of its streams is recomputed from the prompt on, at other servers
+    that are already short of capacity.
     """
 
     def __init__(
@@ -38,23 +39,23 @@
         notices.listeners.append(self.on_notice)
 
     def on_notice(self, notice: Notice) -> None:
-        """Give the servers that `notice` takes no new work, and empty them.
+        """Exclude the servers that `notice` reclaims, and move their streams.
 
-        If this node goes too, it only hands over: exports would hold up the records,
-        and its streams are stopped and go on at other nodes in the same moment.
+        A node that is itself being reclaimed moves no streams: exports would delay its
+        handover, which stops the streams and continues them at other nodes anyway.
         """
         for server in self.mark_leaving_servers():
             if self.serving.handing_over:
                 continue
             if self.notices.notice_for(server.id, server.zone) is notice:
-                gevent.spawn(self.empty, server, notice)
+                gevent.spawn(self.move_streams, server, notice)
 
     def mark_leaving_servers(self) -> list[ServerView]:
-        """Take all servers under notice out of the choice; return them."""
+        """Exclude all servers under notice from placement; return them."""
         found = []
         for server in list(self._servers()):
             if self.notices.notice_for(server.id, server.zone) is not None:
-                self.dispatcher.leave(server.id)
+                self.dispatcher.exclude_server(server.id)
                 found.append(server)
         return found
 
@@ -62,46 +63,48 @@
         for views in self.dispatcher.servers.values():
             yield from views.values()
 
-    def empty(self, server: ServerView, notice: Notice) -> None:
-        """Move what runs at `server`; the body of a greenlet."""
+    def move_streams(self, server: ServerView, notice: Notice) -> None:
+        """Move the streams that run at `server`; the body of a greenlet."""
         left_s = notice.ends_at - self.serving.clock.now()
         runs = {
             run.ticket: run
             for run in self.serving.registry.unfinished()
-            if at(run, server)
+            if is_streaming_from(run, server)
         }
         for ticket, run in runs.items():
             ticket.tokens = len(run.record.tokens)
         moves = self.dispatcher.plan_moves(server, seconds_left=left_s)
-        moving = [s for s in moves if s.method is not MoveMethod.FINISH]
+        to_stop = [s for s in moves if s.method is not MoveMethod.FINISH]
         log_event(
-            "server_leaving", server=server.id, streams=len(runs), moving=len(moving)
+            "server_leaving", server=server.id, streams=len(runs), moving=len(to_stop)
         )
-        pool = Pool(AT_ONCE)
-        for shift in moving:
-            if shift.ticket in runs:
-                pool.spawn(self.move, runs[shift.ticket], server, shift.method)
+        pool = Pool(MAX_CONCURRENT_EXPORTS)
+        for move in to_stop:
+            if move.ticket in runs:
+                pool.spawn(self.move_stream, runs[move.ticket], server, move.method)
         pool.join()
 
-    def move(self, run: Run, server: ServerView, method: MoveMethod) -> None:
-        """Stop one stream at `server`; its driver goes on elsewhere."""
-        if not at(run, server):
+    def move_stream(self, run: Run, server: ServerView, method: MoveMethod) -> None:
+        """Stop one stream at `server`; its driver continues it elsewhere."""
+        if not is_streaming_from(run, server):
             return
-        move = run.pending_move = PendingMove()
+        pending_move = run.pending_move = PendingMove()
         request_id = run.record.request.request_id
         exported = None
         if method is MoveMethod.EXPORT:
             exported = run.backend.export_kv(request_id)
         if exported is not None:
             self.exported.add(1)
-            move.settle(*exported)
+            pending_move.set_result(*exported)
         else:
             self.resumed.add(1)
-            move.settle(run.backend.cancel(request_id))
-        log_event("stream_moved", request_id=request_id, tokens=len(move.tokens))
+            pending_move.set_result(run.backend.cancel(request_id))
+        log_event(
+            "stream_moved", request_id=request_id, tokens=len(pending_move.tokens)
+        )
 
 
-def at(run: Run, server: ServerView) -> bool:
+def is_streaming_from(run: Run, server: ServerView) -> bool:
     """Return whether an engine's attempt of `run` is under way at `server`."""
     return (
         run.driving
