--- a/packages/endive_node/src/endive_node/configuration.py
+++ b/packages/endive_node/src/endive_node/configuration.py
@@ -34,13 +34,13 @@
 LONG_POLL_S = 5.0
 RETRY_S = 0.2
 GAP_RETRY_S = 1.0
-SETTLE_S = 5.0
+PEER_DISCOVERY_S = 5.0
 """How long a new node waits, the log being down, for a member that holds the highest
 offset heard of. Members are heard one after the other, so the first may be behind; but
 the only node that had read the last change may be gone for good."""
 
-LAG_CHECK_S = 0.5
-LAG_ALLOWED_S = 1.5
+LAG_CHECK_INTERVAL_S = 0.5
+MAX_LAG_S = 1.5
 """How long this node may be behind what others have in force before it asks one of
 them: the log normally brings the same change within milliseconds."""
 
@@ -75,12 +75,12 @@
     history: ChangeHistory = field(default_factory=ChangeHistory)
     ready: Event = field(default_factory=Event)
     changed: Event = field(default_factory=Event)
-    last_read: float | None = None
+    last_read_at: float | None = None
     source: ConfigurationSource | None = None
     snapshot_through: int = -1
     snapshot_at: float = 0.0
     pulls: int = 0
-    pulled_at: float | None = None
+    first_pulled_at: float | None = None
 
     def __post_init__(self) -> None:
         self.snapshot_at = self.clock.now()
@@ -115,7 +115,7 @@
         page = self.log.read(CONFIGURATION_STREAM, self.fold.offset + 1, wait_s=wait_s)
         for entry in page.entries:
             self._fold_entry(entry.offset, entry.body)
-        self.last_read = self.clock.now()
+        self.last_read_at = self.clock.now()
         if page.entries:
             self._publish()
         if self.fold.offset + 1 >= page.next:
@@ -133,9 +133,9 @@
             return
         self.fold.apply(offset, record)
         if isinstance(record, SnapshotTaken):
-            self.note_snapshot(record.through)
+            self.record_snapshot(record.through)
 
-    def note_snapshot(self, through: int) -> None:
+    def record_snapshot(self, through: int) -> None:
         """Note that the log holds a snapshot up to the offset `through`."""
         if through > self.snapshot_through:
             self.snapshot_through = through
@@ -165,7 +165,7 @@
         )
         if snapshot is None or not self.adopt(snapshot):
             return False
-        self.note_snapshot(snapshot.through)
+        self.record_snapshot(snapshot.through)
         return True
 
     def _close_gap(self, first: int) -> None:
@@ -194,16 +194,16 @@
             return False
         if self.adopt(snapshot):
             self.pulls += 1
-        return snapshot.through >= self.source.held_offset()
+        return snapshot.through >= self.source.reachable_offset()
 
     def _start_from_peers(self) -> None:
         """While the log is down, begin with the newest state that others hold."""
         if self.ready.is_set() or not self.pull():
             return
-        if self.pulled_at is None:
-            self.pulled_at = self.clock.now()
+        if self.first_pulled_at is None:
+            self.first_pulled_at = self.clock.now()
         has_latest = self.fold.offset >= self.source.highest_offset()
-        if has_latest or self.clock.now() - self.pulled_at > SETTLE_S:
+        if has_latest or self.clock.now() - self.first_pulled_at > PEER_DISCOVERY_S:
             self.ready.set()
 
     def watch_lag(self) -> None:
@@ -213,14 +213,14 @@
         would route by an older configuration and nobody would see it but in the
         offsets that the heartbeats carry.
         """
-        in_step_at = self.clock.now()
+        up_to_date_at = self.clock.now()
         while True:
-            gevent.sleep(LAG_CHECK_S)
+            gevent.sleep(LAG_CHECK_INTERVAL_S)
             if not self.is_behind():
-                in_step_at = self.clock.now()
+                up_to_date_at = self.clock.now()
             elif (
-                self.clock.now() - in_step_at > LAG_ALLOWED_S
-                and self.source.held_offset() > self.fold.offset
+                self.clock.now() - up_to_date_at > MAX_LAG_S
+                and self.source.reachable_offset() > self.fold.offset
             ):
                 self.pull()
 
@@ -257,7 +257,7 @@
         appended = False
         while (outcome := self.fold.outcomes.get(change.change_id)) is None:
             if self.clock.now() > deadline:
-                raise _not_settled(uncertain or appended)
+                raise _unsettled_append_error(uncertain or appended)
             if not appended:
                 try:
                     self.log.append(CONFIGURATION_STREAM, [encode(change)])
@@ -266,7 +266,7 @@
                     uncertain = True
                 except LogUnavailableError:
                     if not uncertain:
-                        raise _not_settled(False) from None
+                        raise _unsettled_append_error(False) from None
                     gevent.sleep(RETRY_S)
             # The loop that follows the log may have folded it before the append was
             # answered: its wake-up is then over, and waiting would add RETRY_S.
@@ -296,8 +296,8 @@
             )
 
 
-def _not_settled(maybe: bool) -> EndiveError:
-    if maybe:
+def _unsettled_append_error(may_be_appended: bool) -> EndiveError:
+    if may_be_appended:
         return EndiveError(
             ErrorKind.OUTCOME_UNKNOWN,
             "the log did not confirm the change; send it again with its change id",
--- a/packages/endive_node/src/endive_node/embedded.py
+++ b/packages/endive_node/src/endive_node/embedded.py
@@ -35,10 +35,12 @@
     plain = serve(Plain.from_config(id="reservation-1"))
     node = Node.from_settings(embedded_settings(log))
     for number, resource in enumerate(example_resources(engines, plain)):
-        node.log.append(CONFIGURATION_STREAM, [encode(creation(number, resource))])
+        node.log.append(
+            CONFIGURATION_STREAM, [encode(creation_change(number, resource))]
+        )
     node.start()
     node.configuration.ready.wait()
-    print_welcome(node)
+    print_examples(node)
     return node
 
 
@@ -69,12 +71,12 @@
         (
             "backend-server-service",
             "engines",
-            {"servers": listed("engine", engines), "decode_tokens_per_s": 50},
+            {"servers": server_entries("engine", engines), "decode_tokens_per_s": 50},
         ),
         (
             "backend-server-service",
             "reservations",
-            {"type": "plain", "servers": listed("reservation", [plain])},
+            {"type": "plain", "servers": server_entries("reservation", [plain])},
         ),
         (
             "deployment",
@@ -88,7 +90,7 @@
     ]
 
 
-def listed(name: str, servers: list[Server]) -> list[dict]:
+def server_entries(name: str, servers: list[Server]) -> list[dict]:
     """Return the entries of a backend server service for stand-ins."""
     return [
         {
@@ -100,7 +102,7 @@
     ]
 
 
-def creation(number: int, resource: Resource) -> Change:
+def creation_change(number: int, resource: Resource) -> Change:
     """Return the change that creates `resource`."""
     return Change(
         change_id=f"embedded-{number}",
@@ -112,7 +114,7 @@
     )
 
 
-def print_welcome(node: Node) -> None:
+def print_examples(node: Node) -> None:
     """Print a call and a look at the resources, to paste as they stand."""
     address = node.settings.node.address
     operators = f"http://{address}:{node.operators.port}"
--- a/packages/endive_node/src/endive_node/fact_exchange.py
+++ b/packages/endive_node/src/endive_node/fact_exchange.py
@@ -21,32 +21,32 @@
         self.gossip = gossip
         self.notices = notices
         self.crashes = crashes
-        notices.listeners.append(self.tell_notice)
-        crashes.listeners.append(self.tell_crash)
-        gossip.facts.listeners.append(self.take)
+        notices.listeners.append(self.publish_notice)
+        crashes.listeners.append(self.publish_crash)
+        gossip.facts.listeners.append(self.apply)
 
-    def tell_notice(self, notice: Notice) -> None:
+    def publish_notice(self, notice: Notice) -> None:
         """Enter a notice among the facts; tell several members if it is news."""
         if notice.instance:
             fact = Fact(FactKind.SERVER_LEAVING, notice.instance, "", 1, notice.ends_at)
         else:
             fact = Fact(FactKind.ZONE_UNDER_NOTICE, notice.zone, "", 1, notice.ends_at)
-        self._tell(fact)
+        self._publish(fact)
 
-    def tell_crash(self, crash: Crash) -> None:
+    def publish_crash(self, crash: Crash) -> None:
         """Enter a crash among the facts; each name of a crash counts once."""
-        self._tell(self.gossip.facts.crash_fact(crash.fingerprint, crash.server, 1))
+        self._publish(self.gossip.facts.crash_fact(crash.fingerprint, crash.server, 1))
 
-    def _tell(self, fact: Fact) -> None:
+    def _publish(self, fact: Fact) -> None:
         if self.gossip.facts.merge(fact):
             self.gossip.announce()
 
-    def take(self, fact: Fact) -> None:
+    def apply(self, fact: Fact) -> None:
         """Put up a fact that another node told; a repeat changes nothing."""
         now = self.gossip.clock.now()
         if fact.kind is FactKind.CRASH:
             self.crashes.add(Crash(fact.subject, fact.origin, now))
         elif fact.kind is FactKind.SERVER_LEAVING:
-            self.notices.put(fact.subject, "", fact.until - now)
+            self.notices.add(fact.subject, "", fact.until - now)
         else:
-            self.notices.put("", fact.subject, fact.until - now)
+            self.notices.add("", fact.subject, fact.until - now)
--- a/packages/endive_node/src/endive_node/gossip.py
+++ b/packages/endive_node/src/endive_node/gossip.py
@@ -32,12 +32,12 @@
 NODE_ROLE = "node"
 LEAVING = "leaving"
 
-ANNOUNCE_TO = 16
+ANNOUNCE_RECEIVERS = 16
 """Receivers of a change that can't wait for the next rounds, such as this node's
 leaving: they pass it on, and with 16 told of 370 the rest hear within a few rounds."""
 
-ANSWERS_PER_S = 20.0
-ANSWERS_AT_ONCE = 40.0
+REPLIES_PER_S = 20.0
+REPLY_BURST = 40.0
 """Most datagrams sent as answers: forged or garbled questions must not make a node
 send without end. A new node needs some thirty to learn of 370 others."""
 
@@ -85,8 +85,8 @@
         self.sent_bytes = 0
         self.received_bytes = 0
         self.rejected = 0
-        self.answers_left = ANSWERS_AT_ONCE
-        self.answered_at = clock.now()
+        self.reply_tokens = REPLY_BURST
+        self.refilled_at = clock.now()
         self.greenlets: list[gevent.Greenlet] = []
 
     @classmethod
@@ -173,18 +173,18 @@
             self.rejected += 1
             log_event("datagram_rejected", source=source[0], error=error)
             return
-        if self.members.receive(digest) and self._may_answer():
+        if self.members.receive(digest) and self._may_reply():
             answer = self.members.digest(wanted=digest.wanted)
             self.send(answer, digest.sender.gossip_address)
 
-    def _may_answer(self) -> bool:
+    def _may_reply(self) -> bool:
         now = self.clock.now()
-        refill = (now - self.answered_at) * ANSWERS_PER_S
-        self.answers_left = min(ANSWERS_AT_ONCE, self.answers_left + refill)
-        self.answered_at = now
-        if self.answers_left < 1:
+        refill = (now - self.refilled_at) * REPLIES_PER_S
+        self.reply_tokens = min(REPLY_BURST, self.reply_tokens + refill)
+        self.refilled_at = now
+        if self.reply_tokens < 1:
             return False
-        self.answers_left -= 1
+        self.reply_tokens -= 1
         return True
 
     def send(self, digest: Digest, receiver: str) -> None:
@@ -209,7 +209,7 @@
         addresses = [member.gossip_address for member in self.members.reachable()]
         addresses += self.members.unknown_addresses()
         self.random.shuffle(addresses)
-        for address in addresses[:ANNOUNCE_TO]:
+        for address in addresses[:ANNOUNCE_RECEIVERS]:
             self.send(self.members.digest(), address)
 
     def follow_instance_list(self) -> None:
--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -75,21 +75,21 @@
         self.members = members
         self.notices = notices
         self.holders: dict[str, str] = {}
-        self.begun = False
+        self.started = False
         self.takeover = Takeover(serving)
         self.take_requests = self.takeover.take_requests
         self.take_answers = self.takeover.take_answers
         metrics = serving.metrics
-        self.given = metrics.counter("endive_handover_requests_given")
-        self.declined = metrics.counter("endive_handover_calls_declined")
+        self.requests_given = metrics.counter("endive_handover_requests_given")
+        self.calls_declined = metrics.counter("endive_handover_calls_declined")
         notices.listeners.append(self.on_notice)
 
     def on_notice(self, notice: Notice) -> None:
         """Begin if `notice` takes this node."""
-        if self.begun:
+        if self.started:
             return
         if self.notices.notice_for(self.section.id, self.section.zone) is notice:
-            self.begun = self.serving.handing_over = True
+            self.started = self.serving.handing_over = True
             gevent.spawn(self.run, notice)
 
     def run(self, notice: Notice) -> None:
@@ -100,20 +100,20 @@
         self.members.leave()
         count = len(self.serving.registry.unfinished())
         log_event("handover_started", in_flight=count)
-        round_ = Round(self, notice)
+        rounds = HandoverRounds(self, notice)
         until = notice.ends_at + ROUNDS_AFTER_NOTICE_S
-        while round_.unsettled() and clock.now() < until:
-            round_.records(round_.left())
-            if round_.first_done_s is None:
-                round_.first_done_s = clock.now() - started_at
+        while rounds.has_unfinished() and clock.now() < until:
+            rounds.send_records(rounds.owned_runs())
+            if rounds.first_pass_s is None:
+                rounds.first_pass_s = clock.now() - started_at
                 log_event(
                     "handover_records_acknowledged",
-                    requests=len(round_.acknowledged),
+                    requests=len(rounds.acknowledged),
                     in_flight=count,
-                    seconds=round_.first_done_s,
+                    seconds=rounds.first_pass_s,
                 )
-            round_.answers()
-            if round_.unsettled():
+            rounds.send_answers()
+            if rounds.has_unfinished():
                 gevent.sleep(ROUND_PAUSE_S)
         log_event(
             "handover_finished",
@@ -135,7 +135,7 @@
             return IDL.AnswerPage(known=False, moved_to="")
         if run.moved:
             return answer_page(run, start, self.holders[run.record.request.request_id])
-        if run.paused and not self.begun and not run.record.request.non_idempotent:
+        if run.paused and not self.started and not run.record.request.non_idempotent:
             run.resume(in_background=True)
         if len(run.record.tokens) <= start and not run.record.ended:
             run.record.progressed.wait(timeout=wait_s)
@@ -143,7 +143,7 @@
 
 
 @dataclass
-class Round:
+class HandoverRounds:
     """The rounds of one handover: records to each target, then answers.
 
     Attributes
@@ -158,18 +158,18 @@
     handover: Handover
     notice: Notice
     acknowledged: dict[str, str] = field(default_factory=dict)
-    passed_over: set[str] = field(default_factory=set)
-    first_done_s: float | None = None
+    failed_targets: set[str] = field(default_factory=set)
+    first_pass_s: float | None = None
 
-    def left(self) -> list[Run]:
+    def owned_runs(self) -> list[Run]:
         """Return the runs that this node still owns."""
         return [r for r in self.handover.serving.registry.unfinished() if not r.moved]
 
-    def unsettled(self) -> bool:
+    def has_unfinished(self) -> bool:
         """Return whether anything is left to give away or to tell a target."""
-        return bool(self.acknowledged or self.left())
+        return bool(self.acknowledged or self.owned_runs())
 
-    def records(self, runs: list[Run]) -> None:
+    def send_records(self, runs: list[Run]) -> None:
         """Send the records of `runs` that no target holds yet."""
         for run in runs:
             request = run.record.request
@@ -178,7 +178,9 @@
         gevent.sleep(0)
         by_id = {run.record.request.request_id: run for run in runs}
         order = transfer_order(
-            self._departure(run) for name, run in by_id.items() if self._waits(name)
+            self._pending_transfer(run)
+            for name, run in by_id.items()
+            if self._is_unacknowledged(name)
         )
         groups: dict[tuple[str, str], list[Run]] = {}
         for name in order:
@@ -188,15 +190,15 @@
                     by_id[name]
                 )
         jobs = [
-            gevent.spawn(self._send_records, peer_id, address, group)
+            gevent.spawn(self._send_records_to, peer_id, address, group)
             for (peer_id, address), group in groups.items()
         ]
         gevent.joinall(jobs)
 
-    def _waits(self, request_id: str) -> bool:
+    def _is_unacknowledged(self, request_id: str) -> bool:
         return request_id not in self.acknowledged
 
-    def _departure(self, run: Run) -> PendingTransfer:
+    def _pending_transfer(self, run: Run) -> PendingTransfer:
         request = run.record.request
         level = self.handover.serving.catalogue.priority(request.priority).level
         size = len(request.prompt)
@@ -212,7 +214,7 @@
             without=frozenset(gone),
         )
         # A node that was slow once is better than none.
-        fresh = [member for member in order if member.id not in self.passed_over]
+        fresh = [member for member in order if member.id not in self.failed_targets]
         return (fresh or order or [None])[0]
 
     def _transfer(self, run: Run) -> RequestTransfer:
@@ -229,7 +231,7 @@
             starts_in_s=max(0.0, self.notice.ends_at - now) + START_MARGIN_S,
         )
 
-    def _send_records(self, peer_id: str, address: str, runs: list[Run]) -> None:
+    def _send_records_to(self, peer_id: str, address: str, runs: list[Run]) -> None:
         encoded = [encode(self._transfer(run)) for run in runs]
         for run in runs:
             run.mark_offered()
@@ -252,14 +254,14 @@
             try:
                 taken += client.call(method, self.handover.section.id, encoded[part])
             except (PeerUnavailableError, IDL.PeerError) as error:
-                self.handover.declined.add(1)
-                self.passed_over.add(peer_id)
+                self.handover.calls_declined.add(1)
+                self.failed_targets.add(peer_id)
                 log_event("handover_declined", peer=peer_id, error=error)
                 certain = isinstance(error, IDL.PeerError | PeerUnreachableError)
                 return taken, not certain
         return taken, False
 
-    def answers(self) -> None:
+    def send_answers(self) -> None:
         """Stop what targets hold, and tell them to go on with the answers so far.
 
         The longest answers go first: a request that isn't told of before the kill
@@ -271,18 +273,18 @@
             run = registry.get(request_id)
             if run is None or run.moved:
                 del self.acknowledged[request_id]
-            elif self._may_stop(run):
+            elif self._may_transfer(run):
                 groups.setdefault(address, []).append(run)
         for runs in groups.values():
             runs.sort(key=lambda run: len(run.record.tokens), reverse=True)
         peers = {m.peer_address: m.id for m in self.handover.members.live()}
         jobs = [
-            gevent.spawn(self._send_answers, peers.get(address, ""), address, runs)
+            gevent.spawn(self._send_answers_to, peers.get(address, ""), address, runs)
             for address, runs in groups.items()
         ]
         gevent.joinall(jobs)
 
-    def _may_stop(self, run: Run) -> bool:
+    def _may_transfer(self, run: Run) -> bool:
         """Return whether a run may be stopped now.
 
         A non-idempotent request that a server may be running moves only if it ends
@@ -293,14 +295,16 @@
         if record.ended or not run.dispatched:
             return True
         if record.request.non_idempotent:
-            return self._late() and run.stop_at_server()
-        return self._late() or record.request.endpoint is not Endpoint.SERVICE
+            return self._is_notice_ending() and run.stop_at_server()
+        return (
+            self._is_notice_ending() or record.request.endpoint is not Endpoint.SERVICE
+        )
 
-    def _late(self) -> bool:
+    def _is_notice_ending(self) -> bool:
         now = self.handover.serving.clock.now()
         return self.notice.ends_at - now < START_MARGIN_S
 
-    def _send_answers(self, peer_id: str, address: str, runs: list[Run]) -> None:
+    def _send_answers_to(self, peer_id: str, address: str, runs: list[Run]) -> None:
         for start in range(0, len(runs), BATCH_RECORDS):
             self._send_answer_batch(
                 peer_id, address, runs[start : start + BATCH_RECORDS]
@@ -319,7 +323,7 @@
             self.acknowledged.pop(request.request_id, None)
             if request.request_id in taken:
                 self.handover.holders[request.request_id] = address
-                self.handover.given.add(1)
+                self.handover.requests_given.add(1)
                 run.end_moved()
             elif uncertain and request.non_idempotent:
                 # The target may have started it although its answer was lost.
--- a/packages/endive_node/src/endive_node/interfaces.py
+++ b/packages/endive_node/src/endive_node/interfaces.py
@@ -136,7 +136,7 @@
         """Return the highest offset heard of, also from nodes that are gone."""
         ...
 
-    def held_offset(self) -> int:
+    def reachable_offset(self) -> int:
         """Return the highest offset of a node that can be asked; -1 if none can."""
         ...
 
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -16,7 +16,7 @@
 from endive_node.logs import log_event
 from endive_node.notices import NoticeTable, NoticeWatcher
 from endive_node.operators import OperatorApi
-from endive_node.peers import PeerConfigurations, PeerHandler, PeerListener
+from endive_node.peers import PeerConfigurationSource, PeerHandler, PeerListener
 from endive_node.platform import HttpCloud, HttpInstanceList, HttpLog
 from endive_node.request_lookup import Locator
 from endive_node.server_polling import ServerPoller
@@ -149,7 +149,7 @@
 
     def _make_snapshots(self) -> None:
         configuration = self.configuration
-        configuration.source = PeerConfigurations(
+        configuration.source = PeerConfigurationSource(
             self.members, self.gossip.random.shuffle
         )
         self.snapshots = SnapshotWriter(
--- a/packages/endive_node/src/endive_node/notices.py
+++ b/packages/endive_node/src/endive_node/notices.py
@@ -14,7 +14,7 @@
 LIST_POLL_S = 2.0
 """Pause between two looks at the instance list, which lags by far more."""
 
-REMEMBER_S = 60.0
+NOTICE_RETENTION_S = 60.0
 """How long after a notice requests are looked for at other nodes by their key."""
 
 PLATFORM_ERRORS = (
@@ -64,11 +64,11 @@
         self.listeners: list[Callable[[Notice], None]] = []
         self.last_new_at: float | None = None
 
-    def put(self, instance: str, zone: str, seconds_left: float) -> None:
+    def add(self, instance: str, zone: str, seconds_left: float) -> None:
         """Note a notice; one that is known already is passed over."""
         notice = Notice(instance, zone, self.clock.now() + seconds_left)
         known = self.by_subject.get(notice.subject)
-        if known is not None and self.clock.now() < known.ends_at + REMEMBER_S:
+        if known is not None and self.clock.now() < known.ends_at + NOTICE_RETENTION_S:
             return
         self.by_subject[notice.subject] = notice
         self.last_new_at = self.clock.now()
@@ -84,11 +84,11 @@
         A single instance's notice counts for its zone: the cloud takes a zone back
         instance by instance, and the next one may be the chosen target.
         """
-        return frozenset(n.zone for n in self._current() if n.zone)
+        return frozenset(n.zone for n in self._unexpired() if n.zone)
 
     def instances(self) -> frozenset[str]:
         """Return the instances that have a notice of their own."""
-        return frozenset(n.instance for n in self._current() if n.instance)
+        return frozenset(n.instance for n in self._unexpired() if n.instance)
 
     def notice_for(self, instance: str, zone: str) -> Notice | None:
         """Return the notice that takes `instance` in `zone`, or ``None``."""
@@ -99,12 +99,12 @@
         """Return whether requests may have changed nodes lately."""
         if self.last_new_at is None:
             return False
-        return self.clock.now() - self.last_new_at < REMEMBER_S
+        return self.clock.now() - self.last_new_at < NOTICE_RETENTION_S
 
-    def _current(self) -> list[Notice]:
+    def _unexpired(self) -> list[Notice]:
         now = self.clock.now()
         for subject, notice in list(self.by_subject.items()):
-            if now > notice.ends_at + REMEMBER_S:
+            if now > notice.ends_at + NOTICE_RETENTION_S:
                 del self.by_subject[subject]
         return list(self.by_subject.values())
 
@@ -132,7 +132,7 @@
         while self.cloud is not None:
             try:
                 for notice in self.cloud.notices():
-                    self.notices.put(
+                    self.notices.add(
                         notice["instance"] or "",
                         notice["zone"] or "",
                         notice["seconds_left"],
@@ -151,7 +151,7 @@
             try:
                 for entry in self.instances.instances():
                     if entry["state"] == LEAVING:
-                        self.notices.put(entry["id"], "", 0.0)
+                        self.notices.add(entry["id"], "", 0.0)
             except PLATFORM_ERRORS as error:
                 log_event("instance_list_unread", error=error)
             gevent.sleep(LIST_POLL_S)
--- a/packages/endive_node/src/endive_node/operators.py
+++ b/packages/endive_node/src/endive_node/operators.py
@@ -22,7 +22,7 @@
 )
 from endive_node.configuration import new_change_id
 from endive_node.logs import log_event
-from endive_node.reporting import Reports, shown
+from endive_node.reporting import Reports, resource_body
 from endive_node.settings import OperatorEntry
 from endive_node.watching import Watch
 
@@ -37,7 +37,7 @@
     name: str
     organisation: str
 
-    def may_touch(self, owner: str) -> bool:
+    def may_access(self, owner: str) -> bool:
         """Return whether resources of `owner` are this operator's to see."""
         return self.organisation in (ALL_ORGANISATIONS, owner)
 
@@ -91,16 +91,16 @@
         self.app = bottle.Bottle()
         self.app.default_error_handler = http_error_body
         route = self.app.route
-        route("/v1/resources/<kind>", "GET", self.guarded(self.list))
-        route("/v1/resources/<kind>/<name>", "GET", self.guarded(self.get))
-        route("/v1/resources/<kind>/<name>", "PUT", self.guarded(self.put))
-        route("/v1/resources/<kind>/<name>", "DELETE", self.guarded(self.delete))
-        route("/v1/watch", "GET", self.guarded(self.watch))
-        route("/v1/requests/<request_id>", "GET", self.guarded(self.explain))
-        route("/v1/status", "GET", self.guarded(self.status))
-        route("/metrics", "GET", self.guarded(self.scrape))
-
-    def guarded(self, method):
+        route("/v1/resources/<kind>", "GET", self.authenticated(self.list))
+        route("/v1/resources/<kind>/<name>", "GET", self.authenticated(self.get))
+        route("/v1/resources/<kind>/<name>", "PUT", self.authenticated(self.put))
+        route("/v1/resources/<kind>/<name>", "DELETE", self.authenticated(self.delete))
+        route("/v1/watch", "GET", self.authenticated(self.watch))
+        route("/v1/requests/<request_id>", "GET", self.authenticated(self.explain))
+        route("/v1/status", "GET", self.authenticated(self.status))
+        route("/metrics", "GET", self.authenticated(self.scrape))
+
+    def authenticated(self, method):
         """Return `method` behind the token check, its errors made into answers."""
 
         def call(**path):
@@ -140,7 +140,7 @@
             "items": [
                 self.reports.resource(stored)
                 for stored in fold.of_kind(parse_kind(kind))
-                if operator.may_touch(stored.body["owner"])
+                if operator.may_access(stored.body["owner"])
             ],
         }
 
@@ -152,8 +152,8 @@
         """Create or change a resource."""
         options = ChangeOptions.from_query(bottle.request.query)
         resource = self._resource(parse_kind(kind), name)
-        if not operator.may_touch(resource.owner):
-            raise forbidden()
+        if not operator.may_access(resource.owner):
+            raise forbidden_error()
         body = resource.model_dump(mode="json")
         return self._submit(operator, options, resource.kind, name, body)
 
@@ -171,7 +171,7 @@
         wanted = None if kind is None else parse_kind(kind)
 
         def is_visible(event) -> bool:
-            return operator.may_touch(event.owner) and wanted in (None, event.kind)
+            return operator.may_access(event.owner) and wanted in (None, event.kind)
 
         watch = Watch(self.configuration, is_visible, self._watch_version())
         bottle.response.content_type = EVENT_STREAM
@@ -187,7 +187,7 @@
                 for stored in self.configuration.fold.of_kind(
                     ResourceKind.BACKEND_SERVER_SERVICE
                 )
-                if operator.may_touch(stored.body["owner"])
+                if operator.may_access(stored.body["owner"])
             }
             servers = status["servers"]
             status["servers"] = [s for s in servers if s["service"] in visible]
@@ -196,7 +196,7 @@
     def explain(self, operator: Operator, request_id: str) -> dict:
         """Return what became of a request, wherever it was accepted."""
         trail = self.reports.explanation(request_id)
-        if not operator.may_touch(trail["organisation"]):
+        if not operator.may_access(trail["organisation"]):
             raise EndiveError(ErrorKind.UNKNOWN_REQUEST, "no notes of this request")
         return trail
 
@@ -248,7 +248,7 @@
             body=body,
         )
         if options.dry_run:
-            return self._try_out(change)
+            return self._dry_run(change)
         outcome = self.configuration.submit(change)
         log_event(
             "resource_changed",
@@ -259,24 +259,24 @@
         )
         return {"version": outcome.version, "change_id": change.change_id}
 
-    def _try_out(self, change: Change) -> dict:
+    def _dry_run(self, change: Change) -> dict:
         """Answer as if `change` were made now; another may still come before it."""
         stored = self.configuration.fold.get(change.kind, change.name)
         self.configuration.check(change)
         return {
             "dry_run": True,
-            "before": shown(stored) if stored else None,
+            "before": resource_body(stored) if stored else None,
             "after": change.body,
         }
 
     def _visible(self, operator: Operator, kind: str, name: str) -> StoredResource:
         stored = self.configuration.fold.get(kind, name)
-        if stored is None or not operator.may_touch(stored.body["owner"]):
+        if stored is None or not operator.may_access(stored.body["owner"]):
             raise EndiveError(ErrorKind.NOT_FOUND, f"there is no {kind} {name!r}")
         return stored
 
 
-def forbidden() -> EndiveError:
+def forbidden_error() -> EndiveError:
     """Return the error for a resource of another organisation."""
     return EndiveError(
         ErrorKind.FORBIDDEN, "the resource belongs to another organisation"
--- a/packages/endive_node/src/endive_node/peers.py
+++ b/packages/endive_node/src/endive_node/peers.py
@@ -25,7 +25,7 @@
 )
 IDLE_TIMEOUT_S = 60.0
 CALL_TIMEOUT_S = 2.0
-PEERS_ASKED = 3
+MAX_PULL_ATTEMPTS = 3
 """Members asked for the configuration in one try, those with the latest first."""
 
 
@@ -45,8 +45,8 @@
         node_id: str,
         configuration: Configuration,
         traces: TraceStore,
-        handover: "RequestTaker | None" = None,
-        claims: "ClaimTaker | None" = None,
+        handover: "TransferReceiver | None" = None,
+        claims: "ClaimAppender | None" = None,
     ) -> None:
         self.node_id = node_id
         self.configuration = configuration
@@ -78,7 +78,7 @@
         return msgspec.json.encode(shown).decode()
 
 
-class PeerConfigurations:
+class PeerConfigurationSource:
     """The members, as :class:`~.interfaces.ConfigurationSource`.
 
     Parameters
@@ -95,8 +95,8 @@
         """See :meth:`endive_node.interfaces.ConfigurationSource.highest_offset`."""
         return self.members.highest_offset
 
-    def held_offset(self) -> int:
-        """See :meth:`endive_node.interfaces.ConfigurationSource.held_offset`."""
+    def reachable_offset(self) -> int:
+        """See :meth:`endive_node.interfaces.ConfigurationSource.reachable_offset`."""
         reachable = self.members.reachable()
         return max((peer.configuration_offset for peer in reachable), default=-1)
 
@@ -105,7 +105,7 @@
         peers = self.members.reachable()
         self.shuffle(peers)
         peers.sort(key=lambda peer: peer.configuration_offset, reverse=True)
-        for peer in peers[:PEERS_ASKED]:
+        for peer in peers[:MAX_PULL_ATTEMPTS]:
             try:
                 return decode(PeerClient(peer.peer_address).pull_configuration())
             except (IDL.PeerError, PeerUnavailableError, RecordError) as error:
@@ -113,7 +113,7 @@
         return None
 
 
-class RequestTaker(Protocol):
+class TransferReceiver(Protocol):
     """Takes over requests of a node that leaves, and tells their answers."""
 
     def take_requests(self, sender: str, encoded: list[bytes]) -> list[str]:
@@ -131,7 +131,7 @@
         ...
 
 
-class ClaimTaker(Protocol):
+class ClaimAppender(Protocol):
     """Appends other nodes' claims and releases to the log."""
 
     def take_claim(self, record: str):
--- a/packages/endive_node/src/endive_node/reporting.py
+++ b/packages/endive_node/src/endive_node/reporting.py
@@ -12,7 +12,7 @@
 from endive_node.peers import IDL, PeerClient, PeerUnavailableError
 
 
-def shown(stored: StoredResource) -> dict:
+def resource_body(stored: StoredResource) -> dict:
     """Return a resource as operators read and write it, with its version."""
     return stored.body | {"version": stored.version}
 
@@ -28,12 +28,12 @@
 
     def resource(self, stored: StoredResource) -> dict:
         """Return a resource with its status."""
-        return shown(stored) | {"status": self.resource_status(stored)}
+        return resource_body(stored) | {"status": self.resource_status(stored)}
 
     def resource_status(self, stored: StoredResource) -> dict:
         """Return what is in force, since when, where, and why something is not."""
         members = self.node.members.live()
-        behind = behind_of(members, stored.version)
+        behind = nodes_behind(members, stored.version)
         reasons = findings(self.node.configuration.catalogue, stored.kind, stored.name)
         if behind:
             reasons.append(f"not yet in force on {', '.join(behind)}")
@@ -74,7 +74,7 @@
             "ready": node.configuration.ready.is_set(),
             "stopping": node.serving.stopping,
             "configuration": self.configuration(),
-            "nodes": [shown_member(member) for member in node.members.live()],
+            "nodes": [member_status(member) for member in node.members.live()],
             "in_flight": len(node.serving.registry.unfinished()),
             "zones_under_notice": sorted(node.notices.zones()),
             "queues": self.queues(),
@@ -92,7 +92,7 @@
     def configuration(self) -> dict:
         """Return the version in force, and how long ago the log was last read."""
         configuration = self.node.configuration
-        last = configuration.last_read
+        last = configuration.last_read_at
         age = None if last is None else self.node.clock.now() - last
         return {"version": configuration.fold.offset, "log_read_s_ago": age}
 
@@ -110,12 +110,12 @@
         ]
 
 
-def behind_of(members: list[Member], version: int) -> list[str]:
+def nodes_behind(members: list[Member], version: int) -> list[str]:
     """Return the ids of the members that don't have `version` in force."""
     return [m.id for m in members if m.configuration_offset < version]
 
 
-def shown_member(member: Member) -> dict:
+def member_status(member: Member) -> dict:
     """Return a member as operators see it."""
     return {
         "id": member.id,
--- a/packages/endive_node/src/endive_node/server_polling.py
+++ b/packages/endive_node/src/endive_node/server_polling.py
@@ -15,10 +15,10 @@
 from endive_node.interfaces import Clock, Members
 from endive_node.settings import BackendSection
 
-READERS = 16
+MAX_CONCURRENT_READS = 16
 """Reports read at a time: one server that hangs must not delay the others' reports."""
 
-ROUNDS_PER_EVENTS = 2
+CACHE_EVENT_ROUNDS = 2
 """Cache events are read every second time: they are late anyway, and a conversation's
 next turn comes seconds later."""
 
@@ -53,9 +53,9 @@
         self.settings = settings
         self.clock = clock
         self.members = members
-        self.pool = Pool(READERS)
+        self.pool = Pool(MAX_CONCURRENT_READS)
         self.round = 0
-        self.next_event: dict[str, int] = {}
+        self.next_event_seq: dict[str, int] = {}
 
     def follow(self) -> None:
         """Read all reports again and again; the body of a greenlet."""
@@ -79,14 +79,14 @@
         """Read one server's report, and an engine's cache events."""
         try:
             self._read_load(scheduler, view)
-            if scheduler.service_type is ServiceType.ENGINE and self._wants_events():
+            if scheduler.service_type is ServiceType.ENGINE and self._is_event_round():
                 self._read_events(scheduler, view)
         except READ_ERRORS:
             return
         self.dispatcher.pump(scheduler)
 
-    def _wants_events(self) -> bool:
-        return self.round % ROUNDS_PER_EVENTS == 0
+    def _is_event_round(self) -> bool:
+        return self.round % CACHE_EVENT_ROUNDS == 0
 
     def _read_load(self, scheduler: Scheduler, view: ServerView) -> None:
         sent_at = self.clock.now()
@@ -100,7 +100,7 @@
         )
 
     def _read_events(self, scheduler: Scheduler, view: ServerView) -> None:
-        start = self.next_event.get(view.id, 0)
+        start = self.next_event_seq.get(view.id, 0)
         body = self.clients.fetch_json(view.address, f"/cache/events?from={start}")
         if body["next"] < start:
             # The numbers start again at 0 after a restart, with an empty cache.
@@ -112,4 +112,4 @@
                 stored=event["kind"] == "stored",
                 blocks=[int(block, 16) for block in event["blocks"]],
             )
-        self.next_event[view.id] = body["next"]
+        self.next_event_seq[view.id] = body["next"]
--- a/packages/endive_node/src/endive_node/settings.py
+++ b/packages/endive_node/src/endive_node/settings.py
@@ -210,10 +210,10 @@
         try:
             return cls.model_validate(value)
         except ValidationError as error:
-            raise SettingsError(f"{source}: {_first_problem(error)}") from None
+            raise SettingsError(f"{source}: {_first_error(error)}") from None
 
 
-def _first_problem(error: ValidationError) -> str:
+def _first_error(error: ValidationError) -> str:
     entry = error.errors(include_url=False)[0]
     key = ".".join(str(part) for part in entry["loc"])
     if entry["type"] == "missing":
@@ -247,7 +247,9 @@
             marker = "[]." if repeated else "."
             rows += setting_rows(section, prefix + name + marker)
         else:
-            default = "required" if field.is_required() else _shown(field.default)
+            default = (
+                "required" if field.is_required() else _format_default(field.default)
+            )
             rows.append(SettingRow(prefix + name, default, field.description or ""))
     return rows
 
@@ -261,5 +263,5 @@
     return None, False
 
 
-def _shown(default) -> str:
+def _format_default(default) -> str:
     return "none" if default is None else f"`{default}`"
--- a/packages/endive_node/src/endive_node/snapshot_writer.py
+++ b/packages/endive_node/src/endive_node/snapshot_writer.py
@@ -14,8 +14,8 @@
 from endive_node.logs import log_event
 from endive_node.settings import ConfigurationSection
 
-CHECK_S = 1.0
-RANK_WAIT_S = 10.0
+CHECK_INTERVAL_S = 1.0
+RANK_DELAY_S = 10.0
 """Time that each node in the order waits longer than the one before it: the first
 normally writes, and the next do if it is gone."""
 
@@ -40,7 +40,7 @@
         self.members = members
         self.node_id = node_id
         self.settings = settings
-        self.full_since = configuration.clock.now()
+        self.records_due_since = configuration.clock.now()
 
     def run(self) -> None:
         """Write whenever it is this node's turn, for ever; the body of a greenlet."""
@@ -48,7 +48,7 @@
         while True:
             if self.is_due():
                 self.write()
-            gevent.sleep(CHECK_S)
+            gevent.sleep(CHECK_INTERVAL_S)
 
     def is_due(self) -> bool:
         """Return whether it is this node's turn to write.
@@ -62,10 +62,10 @@
         now = configuration.clock.now()
         behind = configuration.fold.offset - configuration.snapshot_through
         if behind < self.settings.snapshot_every_records:
-            self.full_since = now
-        wait_s = self._rank() * RANK_WAIT_S
+            self.records_due_since = now
+        wait_s = self._rank() * RANK_DELAY_S
         return (
-            now - self.full_since > wait_s
+            now - self.records_due_since > wait_s
             or now - configuration.snapshot_at > self.settings.snapshot_every_s + wait_s
         )
 
@@ -85,7 +85,7 @@
             configuration.log.append(CONFIGURATION_STREAM, [encode(taken)])
         except (LogUnavailableError, LogOutcomeUnknownError) as error:
             log_event("snapshot_not_written", error=error)
-            gevent.sleep(RANK_WAIT_S)
+            gevent.sleep(RANK_DELAY_S)
             return
-        configuration.note_snapshot(snapshot.through)
+        configuration.record_snapshot(snapshot.through)
         log_event("snapshot_written", through=snapshot.through)
--- a/packages/endive_node/src/endive_node/takeover.py
+++ b/packages/endive_node/src/endive_node/takeover.py
@@ -18,21 +18,21 @@
 
     def __init__(self, serving: Serving) -> None:
         self.serving = serving
-        self.taken = serving.metrics.counter("endive_handover_requests_taken")
+        self.requests_taken = serving.metrics.counter("endive_handover_requests_taken")
 
     def take_requests(self, sender: str, encoded: list[bytes]) -> list[str]:
         """Hold requests that `sender` gives away; return the ids held."""
         if self.serving.stopping:
             raise IDL.PeerError(kind="stopping", message="this node leaves too")
-        held = []
+        accepted = []
         for data in encoded:
             transfer = msgspec.msgpack.decode(data, type=RequestTransfer)
-            self._hold(transfer)
-            held.append(transfer.head.request_id)
-        log_event("handover_requests_taken", sender=sender, requests=len(held))
-        return held
+            self._accept_transfer(transfer)
+            accepted.append(transfer.head.request_id)
+        log_event("handover_requests_taken", sender=sender, requests=len(accepted))
+        return accepted
 
-    def _hold(self, transfer: RequestTransfer) -> None:
+    def _accept_transfer(self, transfer: RequestTransfer) -> None:
         registry, clock = self.serving.registry, self.serving.clock
         known = registry.get(transfer.head.request_id)
         if known is not None and not known.moved:
@@ -46,7 +46,7 @@
             attempt=transfer.attempt,
         )
         run = self.serving.add_transferred(record, sent_before=transfer.dispatched)
-        self.taken.add(1)
+        self.requests_taken.add(1)
         if transfer.stopped:
             run.resume(in_background=True)
         else:
--- a/packages/endive_node/src/endive_node/watching.py
+++ b/packages/endive_node/src/endive_node/watching.py
@@ -49,26 +49,26 @@
             try:
                 fresh = self.configuration.history.since(self.version)
             except EndiveError as error:
-                yield server_sent("error", self.version, error.to_body())
+                yield encode_event("error", self.version, error.to_body())
                 return
             for event in fresh:
                 self.version = event.version
                 if self.is_visible(event):
-                    yield server_sent("change", event.version, shown_event(event))
+                    yield encode_event("change", event.version, event_body(event))
             reached = max(self.version, self.configuration.fold.offset)
             if fresh or not self.configuration.changed.wait(timeout=HEARTBEAT_S):
                 self.version = reached
-                yield server_sent("reached", reached, {"version": reached})
+                yield encode_event("reached", reached, {"version": reached})
 
 
-def shown_event(event: ChangeEvent) -> dict:
+def event_body(event: ChangeEvent) -> dict:
     """Return a change as a watcher reads it."""
-    shown = asdict(event) | {"type": "deleted" if event.body is None else "applied"}
-    del shown["size"]
-    return shown
+    body = asdict(event) | {"type": "deleted" if event.body is None else "applied"}
+    del body["size"]
+    return body
 
 
-def server_sent(name: str, version: int, data: dict) -> bytes:
+def encode_event(name: str, version: int, data: dict) -> bytes:
     """Return one server-sent event."""
     head = f"id: {version}\nevent: {name}\ndata: ".encode()
     return head + encode_json(data) + b"\n\n"
--- a/packages/endive_node/tests/test_configuration.py
+++ b/packages/endive_node/tests/test_configuration.py
@@ -10,9 +10,9 @@
     encode,
 )
 from endive_node.configuration import (
-    LAG_ALLOWED_S,
-    LAG_CHECK_S,
-    SETTLE_S,
+    LAG_CHECK_INTERVAL_S,
+    MAX_LAG_S,
+    PEER_DISCOVERY_S,
     Configuration,
 )
 from endive_node.interfaces import (
@@ -22,7 +22,7 @@
     LogUnavailableError,
 )
 from endive_node.settings import ConfigurationSection
-from endive_node.snapshot_writer import RANK_WAIT_S, SnapshotWriter
+from endive_node.snapshot_writer import RANK_DELAY_S, SnapshotWriter
 from endive_node.telemetry import MonotonicClock
 from made_network import member
 from node_builders import FakeClock
@@ -64,7 +64,7 @@
     def highest_offset(self):
         return max(self.heard, self.fold.offset)
 
-    def held_offset(self):
+    def reachable_offset(self):
         return self.fold.offset
 
     def pull(self):
@@ -132,7 +132,7 @@
     configuration.source = FakeSource(folded(4), heard=4)
     configuration._start_from_peers()
     assert not configuration.ready.is_set(), "a member not heard yet may have it"
-    configuration.clock.time += SETTLE_S + 1
+    configuration.clock.time += PEER_DISCOVERY_S + 1
     configuration._start_from_peers()
     assert configuration.ready.is_set()
     assert configuration.is_behind()
@@ -146,7 +146,7 @@
     configuration.step()
     configuration.source = FakeSource(folded(9), heard=12)
     loop = gevent.spawn(configuration.watch_lag)
-    gevent.sleep(LAG_ALLOWED_S + 4 * LAG_CHECK_S)
+    gevent.sleep(MAX_LAG_S + 4 * LAG_CHECK_INTERVAL_S)
     loop.kill()
     assert (configuration.fold.offset, configuration.source.asked) == (8, 1)
 
@@ -200,7 +200,7 @@
     clock.time += 1
     (first,) = [writer for writer in writers if writer.is_due()]
     others = [writer for writer in writers if writer is not first]
-    clock.time += RANK_WAIT_S
+    clock.time += RANK_DELAY_S
     second = next(writer for writer in others if writer.is_due())
     second.write()
     for writer in writers:
--- a/packages/endive_node/tests/test_gossip.py
+++ b/packages/endive_node/tests/test_gossip.py
@@ -6,8 +6,8 @@
 from endive_core.members import DATAGRAM_BYTES, Digest
 from endive_core.membership import Timings
 from endive_node.gossip import (
-    ANSWERS_AT_ONCE,
-    ANSWERS_PER_S,
+    REPLIES_PER_S,
+    REPLY_BURST,
     DatagramError,
     Gossip,
     decode_digest,
@@ -85,12 +85,12 @@
     for _ in range(500):
         gossip.receive(data, ("127.0.0.1", 1))
     asker.close()
-    assert len(sent) == ANSWERS_AT_ONCE
+    assert len(sent) == REPLY_BURST
     gossip.clock.time += 1.0
     for _ in range(500):
         gossip.receive(data, ("127.0.0.1", 1))
     gossip.socket.close()
-    assert len(sent) == ANSWERS_AT_ONCE + ANSWERS_PER_S
+    assert len(sent) == REPLY_BURST + REPLIES_PER_S
 
 
 def test_listed_instances_only_add_addresses():
