--- a/packages/endive_node/src/endive_node/__init__.py
+++ b/packages/endive_node/src/endive_node/__init__.py
@@ -1,16 +1,16 @@
-"""The serving process: callers, operators, peers, platform and backend servers.
+"""The serving process between callers, operators, platform and backend servers.
 
-Its modules, by their work:
+Its modules by task:
 
-- the whole: ``node``, ``settings``, ``interfaces``, ``contexts``, ``cli``, ``embedded``
-- callers' side: ``callers``, ``serving``, ``runs``, ``request_registry``, ``watching``
-- servers' side: ``attempts``, ``backends``, ``dispatching``, ``waiters``,
+- process: ``node``, ``settings``, ``interfaces``, ``contexts``, ``cli``, ``embedded``
+- callers: ``callers``, ``serving``, ``runs``, ``request_registry``, ``watching``
+- backend servers: ``attempts``, ``backends``, ``dispatching``, ``waiters``,
   ``server_polling``
-- requests that move: ``pending_moves``, ``stream_mover``, ``handover``, ``takeover``,
+- transfer of requests: ``pending_moves``, ``stream_mover``, ``handover``, ``takeover``,
   ``request_lookup``
 - operators: ``operators``, ``reporting``, ``request_traces``
-- what the platform says: ``platform``, ``configuration``, ``snapshots``,
+- platform: ``platform``, ``configuration``, ``snapshots``,
   ``snapshot_writer``, ``claiming``, ``shards``, ``notices``
 - between nodes: ``gossip``, ``peers``, ``fact_exchange``
-- plumbing: ``listeners``, ``sockets``, ``logs``, ``telemetry``
+- infrastructure: ``listeners``, ``sockets``, ``logs``, ``telemetry``
 """
--- a/packages/endive_node/src/endive_node/cli.py
+++ b/packages/endive_node/src/endive_node/cli.py
@@ -19,14 +19,14 @@
 
 
 def run(settings: str = "", embedded: bool = False) -> None:
-    """Run a node until SIGTERM, then finish what is under way.
+    """Run a node until SIGTERM or SIGINT, then finish unfinished answers and stop.
 
     Parameters
     ----------
     settings
         Path of the TOML settings file.
     embedded
-        Run with stand-ins for platform and backend servers in this process.
+        Run with stand-ins for platform and backend servers in the same process.
     """
     flags.FLAGS.mark_as_parsed()  # absl prints a warning to every log otherwise
     logging.set_verbosity(logging.INFO)
@@ -44,19 +44,19 @@
 
 
 def check(settings: str) -> None:
-    """Check a settings file without starting anything."""
+    """Validate a settings file without starting anything."""
     load(settings)
     print(f"{settings}: ok")
 
 
 def settings() -> None:
-    """Print every setting with its default, as rows of the operators' page."""
+    """Print every setting with its default, as table rows of docs/OPERATIONS.md."""
     for row in setting_rows():
         print(f"| `{row.key}` | {row.default} | {row.description} |")
 
 
 def load(path: str) -> Settings:
-    """Return the settings at `path`, or end the process with one line and code 2."""
+    """Return the settings at `path`; print an error and exit with code 2 if invalid."""
     try:
         if not path:
             raise SettingsError("settings: found nothing, allowed: --settings FILE")
@@ -67,7 +67,7 @@
 
 
 def main() -> None:
-    """Run one of the commands; without a name, flags go to ``run``."""
+    """Run a command; without a command name, the flags are passed to ``run``."""
     arguments = sys.argv[1:]
     if not arguments or arguments[0].startswith("--"):
         arguments.insert(0, "run")
--- a/packages/endive_node/src/endive_node/configuration.py
+++ b/packages/endive_node/src/endive_node/configuration.py
@@ -1,4 +1,4 @@
-"""Following the configuration stream, and writing changes to it."""
+"""Follows the configuration stream in the log and appends changes to it."""
 
 import uuid
 from collections.abc import Callable
@@ -35,36 +35,39 @@
 RETRY_S = 0.2
 GAP_RETRY_S = 1.0
 PEER_DISCOVERY_S = 5.0
-"""How long a new node waits, the log being down, for a member that holds the highest
-offset heard of. Members are heard one after the other, so the first may be behind; but
-the only node that had read the last change may be gone for good."""
+"""How long a starting node waits, while the log is unavailable, for a member that holds
+the highest known offset. Members are discovered one after the other, so the first one
+may be behind. The wait is bounded because the only node that had read the last change
+may be gone for good."""
 
 LAG_CHECK_INTERVAL_S = 0.5
 MAX_LAG_S = 1.5
-"""How long this node may be behind what others have in force before it asks one of
-them: the log normally brings the same change within milliseconds."""
+"""How long this node may lag behind the others' configuration before it pulls from one
+of them. The log normally delivers the same change within milliseconds."""
 
 SUBMIT_TIMEOUT_S = 8.0
-"""How long a writer waits for its own change to come back: well inside the 13 s in
-which a change must be in force everywhere."""
+"""How long a writer waits until it reads its own change back from the log. It is well
+below the 13 s within which a change must be in force on all nodes."""
 
 
 @dataclass
 class Configuration:
-    """The configuration in force on this node, followed from the log.
+    """The configuration in force on this node, built from the log's records.
 
-    A lookup reads :attr:`catalogue`; a writer calls :meth:`submit`.
+    Readers use :attr:`catalogue`; writers call :meth:`submit`.
 
     Attributes
     ----------
     listeners : list of callable
         Called with the set of (kind, name) pairs after each batch of changes.
     source : ConfigurationSource or None
-        Other nodes, asked when the log is down or has forgotten too much.
+        Other nodes, from which the configuration is pulled if the log is unavailable
+        or no longer keeps the records that this node needs.
     snapshot_through, snapshot_at
-        Offset of the newest snapshot known to be in the log, and when it was noted.
+        Last offset that the newest known snapshot in the log covers, and the clock
+        time in seconds at which this node learnt of it.
     pulls : int
-        States taken over from other nodes.
+        Number of snapshots adopted from other nodes.
     """
 
     log: LogService
@@ -86,7 +89,7 @@
         self.snapshot_at = self.clock.now()
 
     def follow(self) -> None:
-        """Fold the stream for ever; the body of a greenlet."""
+        """Read and apply the stream in an endless loop; runs in a greenlet."""
         while True:
             try:
                 self.step()
@@ -96,7 +99,7 @@
                 gevent.sleep(RETRY_S)
 
     def step(self) -> None:
-        """Read one page, from a snapshot on if there is no other way.
+        """Read and apply one page; start from a snapshot if none is applied yet.
 
         Raises
         ------
@@ -111,7 +114,7 @@
             self._close_gap(error.first)
 
     def read_once(self, *, wait_s: float = 0.0) -> None:
-        """Read and fold one page."""
+        """Read one page of records and apply it."""
         page = self.log.read(CONFIGURATION_STREAM, self.fold.offset + 1, wait_s=wait_s)
         for entry in page.entries:
             self._fold_entry(entry.offset, entry.body)
@@ -136,7 +139,7 @@
             self.record_snapshot(record.through)
 
     def record_snapshot(self, through: int) -> None:
-        """Note that the log holds a snapshot up to the offset `through`."""
+        """Record that the log holds a snapshot that covers offsets up to `through`."""
         if through > self.snapshot_through:
             self.snapshot_through = through
             self.snapshot_at = self.clock.now()
@@ -144,12 +147,12 @@
     def _fold_change(self, offset: int, change: Change, size: int) -> None:
         before = self.fold.get(change.kind, change.name)
         outcome = self.fold.apply(offset, change)
-        # A repeated change id answers with its first outcome, at an older version.
+        # A repeated change id yields its first outcome, whose version is older.
         if outcome is not None and outcome.applied_at(offset):
             self.history.add(offset, change, before, size)
 
     def adopt(self, snapshot: Snapshot) -> bool:
-        """Go on from `snapshot`, unless that would go back; return whether it was."""
+        """Replace the state by `snapshot` if it is newer; return whether it was."""
         if snapshot.through <= self.fold.offset:
             return False
         self.fold = ConfigurationFold.from_snapshot(snapshot)
@@ -159,7 +162,7 @@
         return True
 
     def _adopt_from_log(self, first: int) -> bool:
-        """Go on from the newest snapshot after which the log still has everything."""
+        """Adopt the newest snapshot after which the log still keeps every record."""
         snapshot = newest_snapshot(
             self.log, lambda s: s.through + 1 >= first and s.through > self.fold.offset
         )
@@ -169,11 +172,12 @@
         return True
 
     def _close_gap(self, first: int) -> None:
-        """Find a state to go on from: the records up to `first` are forgotten.
+        """Adopt a snapshot, since the log no longer keeps the records before `first`.
 
-        To go on with the records that are left would skip changes, and nobody would
-        notice: a deleted organisation could still call, a new server never be used.
-        Without a state this node stays as it is, and a new one stays not ready.
+        Applying only the remaining records would skip changes without any error: a
+        deleted organisation could still send requests, and a new server would never
+        be used. If no snapshot is available, this node keeps its present state, and a
+        starting node stays not ready.
         """
         if self._adopt_from_log(first):
             return
@@ -183,9 +187,9 @@
         gevent.sleep(GAP_RETRY_S)
 
     def pull(self) -> bool:
-        """Take over the newest state that other nodes hold; return whether one came.
+        """Adopt the newest configuration of other nodes; return whether it is current.
 
-        It counts only if no node that can be asked is known to hold a newer one.
+        It is current if no reachable node is known to hold a newer one.
         """
         if self.source is None:
             return False
@@ -197,7 +201,7 @@
         return snapshot.through >= self.source.reachable_offset()
 
     def _start_from_peers(self) -> None:
-        """While the log is down, begin with the newest state that others hold."""
+        """While the log is unavailable, start with the peers' newest configuration."""
         if self.ready.is_set() or not self.pull():
             return
         if self.first_pulled_at is None:
@@ -207,11 +211,11 @@
             self.ready.set()
 
     def watch_lag(self) -> None:
-        """Pull from another node when this one lags; the body of a greenlet.
+        """Pull from another node when this one lags; runs in a greenlet.
 
-        The log may answer this node late or not at all while others have read on. It
-        would route by an older configuration and nobody would see it but in the
-        offsets that the heartbeats carry.
+        The log may respond late or not at all to this node while others still read
+        it. This node would then route requests by an older configuration, which shows
+        only in the offsets that the heartbeats carry.
         """
         up_to_date_at = self.clock.now()
         while True:
@@ -225,7 +229,7 @@
                 self.pull()
 
     def is_behind(self) -> bool:
-        """Return whether another node has a later configuration in force."""
+        """Return whether another node has a newer configuration in force."""
         return (
             self.ready.is_set()
             and self.source is not None
@@ -240,16 +244,16 @@
             listener(touched)
 
     def submit(self, change: Change) -> Outcome:
-        """Append `change` and wait until this node has folded it.
+        """Append `change` and wait until this node has applied it.
 
-        The change id makes a second append harmless, so a lost answer is settled by
-        appending again until the outcome is read back.
+        The change id makes a repeated append idempotent. If the response to an append
+        is lost, the change is appended again until its outcome is read back.
 
         Raises
         ------
         EndiveError
-            ``version_conflict`` with the winner's version; ``log_unavailable`` if it
-            was not appended; ``outcome_unknown`` if that could not be found out.
+            ``version_conflict`` with the version in force; ``log_unavailable`` if the
+            change was not appended; ``outcome_unknown`` if it may have been.
         """
         change = msgspec.structs.replace(change, basis=self.fold.offset)
         deadline = self.clock.now() + SUBMIT_TIMEOUT_S
@@ -268,15 +272,16 @@
                     if not uncertain:
                         raise _unsettled_append_error(False) from None
                     gevent.sleep(RETRY_S)
-            # The loop that follows the log may have folded it before the append was
-            # answered: its wake-up is then over, and waiting would add RETRY_S.
+            # The loop that reads the log may have applied the change before the append
+            # returned. Its `changed` event is then over, and waiting for the next one
+            # would add RETRY_S.
             if change.change_id not in self.fold.outcomes:
                 self.changed.wait(timeout=RETRY_S)
         self._check_verdict(change, outcome.verdict, outcome.version)
         return outcome
 
     def check(self, change: Change) -> None:
-        """Raise what :meth:`submit` would raise if `change` were decided now."""
+        """Raise the error that :meth:`submit` would raise for `change` now."""
         self._check_verdict(change, *self.fold.verdict(change))
 
     def _check_verdict(self, change: Change, verdict: Verdict, version: int) -> None:
@@ -300,11 +305,13 @@
     if may_be_appended:
         return EndiveError(
             ErrorKind.OUTCOME_UNKNOWN,
-            "the log did not confirm the change; send it again with its change id",
+            "the log did not confirm the change; send it again with the same change id",
         )
-    return EndiveError(ErrorKind.LOG_UNAVAILABLE, "the log takes no changes now")
+    return EndiveError(
+        ErrorKind.LOG_UNAVAILABLE, "the log is unavailable; the change was not appended"
+    )
 
 
 def new_change_id() -> str:
-    """Return an id for a change whose sender gave none."""
+    """Return a random id for a change that was sent without one."""
     return uuid.uuid4().hex
--- a/packages/endive_node/src/endive_node/embedded.py
+++ b/packages/endive_node/src/endive_node/embedded.py
@@ -1,6 +1,7 @@
-"""One process with everything: the node, and stand-ins for all it talks to.
+"""Runs a node with stand-ins for platform and backend servers in one process.
 
-For a first look and for trying resources out; nothing here survives the process.
+It is meant for trying out the API and the resources. Nothing is stored beyond the
+process.
 """
 
 import time
@@ -29,7 +30,7 @@
 
 
 def start_embedded() -> Node:
-    """Start stand-ins and node, and print lines to paste."""
+    """Start the stand-ins and a node, and print example commands."""
     log = serve(Log.from_config())
     engines = [serve(Engine.from_config(id=f"engine-{number}")) for number in (1, 2)]
     plain = serve(Plain.from_config(id="reservation-1"))
@@ -45,7 +46,7 @@
 
 
 def embedded_settings(log: Server) -> Settings:
-    """Return the settings of a lone node beside the log stand-in."""
+    """Return the settings of a single node that uses the log stand-in."""
     return Settings.from_config(
         {
             "node": {"id": "node-1", "zone": ZONES[0]},
@@ -62,7 +63,7 @@
 
 
 def example_resources(engines: list[Server], plain: Server) -> list[Resource]:
-    """Return an organisation, two services, a model version and a deployment."""
+    """Return example resources: an organisation, its services and a deployment."""
     bodies = [
         ("organisation", OWNER, {"caller_key_hashes": [hash_key(CALLER_KEY)]}),
         ("priority", "interactive", {"level": 10}),
@@ -91,7 +92,7 @@
 
 
 def server_entries(name: str, servers: list[Server]) -> list[dict]:
-    """Return the entries of a backend server service for stand-ins."""
+    """Return the server entries of a backend server service."""
     return [
         {
             "id": f"{name}-{number}",
@@ -115,10 +116,10 @@
 
 
 def print_examples(node: Node) -> None:
-    """Print a call and a look at the resources, to paste as they stand."""
+    """Print example commands for a request and for listing resources."""
     address = node.settings.node.address
     operators = f"http://{address}:{node.operators.port}"
-    print("endive-node runs with stand-ins in this process. Try, in another shell:\n")
+    print("endive-node runs with stand-ins in this process. Try in another shell:\n")
     print(CURL_LINE.format(address=address, port=node.callers.port, key=CALLER_KEY))
     print(
         f"\n.venv/bin/endivectl --server {operators} --token {OPERATOR_TOKEN} "
--- a/packages/endive_node/src/endive_node/fact_exchange.py
+++ b/packages/endive_node/src/endive_node/fact_exchange.py
@@ -1,4 +1,4 @@
-"""Passing notices and crashes between this node's tables and the heartbeats."""
+"""Exchanges reclaim notices and crashes with other nodes, as gossip facts."""
 
 from endive_core.crashes import Crash, CrashTable
 from endive_core.facts import Fact, FactKind
@@ -8,11 +8,11 @@
 
 
 class FactExchange:
-    """Tells all nodes of the notices and crashes that this one noticed.
+    """Publishes this node's notices and crashes, and applies those of other nodes.
 
-    Callers meet it when a request that crashed servers under two nodes is refused by a
-    third. A node whose own look at the cloud's notices fails, or comes late, still
-    learns of them here.
+    Through it, a request that has crashed servers under two nodes is refused by a
+    third one, and a node whose own poll of the cloud's notices fails or is late still
+    learns of them.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         gossip.facts.listeners.append(self.apply)
 
     def publish_notice(self, notice: Notice) -> None:
-        """Enter a notice among the facts; tell several members if it is news."""
+        """Publish a notice as a fact."""
         if notice.instance:
             fact = Fact(FactKind.SERVER_LEAVING, notice.instance, "", 1, notice.ends_at)
         else:
@@ -34,15 +34,16 @@
         self._publish(fact)
 
     def publish_crash(self, crash: Crash) -> None:
-        """Enter a crash among the facts; each name of a crash counts once."""
+        """Publish a crash as a fact; each crashed server counts once per request."""
         self._publish(self.gossip.facts.crash_fact(crash.fingerprint, crash.server, 1))
 
     def _publish(self, fact: Fact) -> None:
+        """Add `fact`; if it is new, send it to several members at once."""
         if self.gossip.facts.merge(fact):
             self.gossip.announce()
 
     def apply(self, fact: Fact) -> None:
-        """Put up a fact that another node told; a repeat changes nothing."""
+        """Add a fact of another node to this node's tables; repeats have no effect."""
         now = self.gossip.clock.now()
         if fact.kind is FactKind.CRASH:
             self.crashes.add(Crash(fact.subject, fact.origin, now))
--- a/packages/endive_node/src/endive_node/gossip.py
+++ b/packages/endive_node/src/endive_node/gossip.py
@@ -1,4 +1,4 @@
-"""Heartbeats over UDP: the loop and the codec around ``endive_core.membership``."""
+"""Gossip of heartbeats and facts over UDP, around ``endive_core.membership``."""
 
 import random
 import socket
@@ -26,7 +26,7 @@
 STATES = (MemberState.STARTING, MemberState.LIVE, MemberState.LEAVING)
 MAX_DATAGRAM_BYTES = 65_535
 HEADER_BYTES = 28
-"""IP and UDP headers, counted with every datagram since the network carries them."""
+"""Size of the IP and UDP headers, added to the byte counts of every datagram."""
 
 INSTANCE_LIST_POLL_S = 10.0
 NODE_ROLE = "node"
@@ -34,29 +34,31 @@
 
 ANNOUNCE_RECEIVERS = 16
 """Receivers of a change that can't wait for the next rounds, such as this node's
-leaving: they pass it on, and with 16 told of 370 the rest hear within a few rounds."""
+leaving. They pass it on: with 16 receivers among 370 nodes, the others receive it
+within a few rounds."""
 
 REPLIES_PER_S = 20.0
 REPLY_BURST = 40.0
-"""Most datagrams sent as answers: forged or garbled questions must not make a node
-send without end. A new node needs some thirty to learn of 370 others."""
+"""Token bucket for datagrams sent as replies: its rate in datagrams per second and its
+size. Forged or garbled requests must not make a node send without limit. A new node
+needs about thirty replies to learn of 370 others."""
 
 
 class DatagramError(Exception):
-    """Raised for a datagram that holds no digest; it is counted and dropped."""
+    """A datagram that is not a valid digest; it is counted and dropped."""
 
 
 class Gossip:
-    """Sends and receives the heartbeats of one node.
+    """Sends and receives the gossip datagrams of one node.
 
     Other parts of the node use :attr:`members` and :attr:`facts`.
 
     Attributes
     ----------
     members : Membership
-        Who is there.
+        The known nodes and their states.
     facts : FactTable
-        What all nodes should soon know.
+        Notices and crashes that are spread to all nodes.
     """
 
     def __init__(
@@ -96,7 +98,7 @@
         clock: Clock,
         instance_list: InstanceList | None = None,
     ) -> "Gossip":
-        """Return the heartbeats of the node in `settings`, its port already bound."""
+        """Return the gossip of the node in `settings`, with its port already bound."""
         section = settings.node
         udp = listen_udp(section.address, section.gossip_port)
         me = Member(
@@ -135,7 +137,7 @@
         self.socket.close()
 
     def register_metrics(self, metrics: Metrics) -> None:
-        """Show members, traffic and losses on the metrics page."""
+        """Register gauges of members, traffic, rejected datagrams, dropped facts."""
         members = self.members
         metrics.gauge("endive_members_live", lambda: len(members.live()))
         metrics.gauge("endive_members_suspected", lambda: len(members.suspected()))
@@ -145,7 +147,7 @@
         metrics.gauge("endive_facts_dropped", lambda: self.facts.dropped)
 
     def send_rounds(self) -> None:
-        """Send a datagram each round, for ever; the body of a greenlet."""
+        """Send one datagram per round in an endless loop; runs in a greenlet."""
         while True:
             self.members.tick()
             receiver = self.members.receiver()
@@ -154,7 +156,7 @@
             gevent.sleep(self.round_s * self.random.uniform(0.9, 1.1))
 
     def receive_all(self) -> None:
-        """Take datagrams for ever; the body of a greenlet."""
+        """Receive datagrams in an endless loop; runs in a greenlet."""
         while True:
             try:
                 data, source = self.socket.recvfrom(MAX_DATAGRAM_BYTES)
@@ -165,7 +167,7 @@
             self.receive(data, source)
 
     def receive(self, data: bytes, source: tuple[str, int]) -> None:
-        """Take one datagram; answer it if either side lacks members."""
+        """Process one datagram; reply if either side lacks members."""
         self.received_bytes += len(data) + HEADER_BYTES
         try:
             digest = decode_digest(data, self.clock.now())
@@ -174,8 +176,8 @@
             log_event("datagram_rejected", source=source[0], error=error)
             return
         if self.members.receive(digest) and self._may_reply():
-            answer = self.members.digest(wanted=digest.wanted)
-            self.send(answer, digest.sender.gossip_address)
+            reply = self.members.digest(wanted=digest.wanted)
+            self.send(reply, digest.sender.gossip_address)
 
     def _may_reply(self) -> bool:
         now = self.clock.now()
@@ -188,7 +190,7 @@
         return True
 
     def send(self, digest: Digest, receiver: str) -> None:
-        """Send one datagram; a loss is made good by the next rounds."""
+        """Send one datagram; if it is lost, the next rounds send the same news."""
         data = encode_digest(digest, self.clock.now())
         host, port = receiver.rsplit(":", 1)
         try:
@@ -199,12 +201,13 @@
         self.sent_bytes += len(data) + HEADER_BYTES
 
     def announce(self) -> None:
-        """Tell several nodes at once, after a change that can't wait.
+        """Send the digest to several nodes at once, after a change that can't wait.
 
-        Also those that are only known by address: a node serves callers before each
-        other one has heard of it. Without them, a request that crashed two servers
-        here crashed two more at a node that had just started, its caller trying again
-        within 0.2 s (one play in three, three nodes started together).
+        The receivers include nodes that are known only by their address, because a
+        node serves callers before every other one has received its heartbeat. If they
+        were left out, a request that has crashed two servers at this node could crash
+        two more at a node that has just started, since callers retry within 0.2 s. With
+        three nodes started together this happened in one run of three.
         """
         addresses = [member.gossip_address for member in self.members.reachable()]
         addresses += self.members.unknown_addresses()
@@ -213,16 +216,16 @@
             self.send(self.members.digest(), address)
 
     def follow_instance_list(self) -> None:
-        """Take addresses to try from the platform's list; the body of a greenlet.
+        """Read addresses of nodes from the platform's list; runs in a greenlet.
 
-        The list lags behind reality: it only adds addresses. Whether a node is there
-        is for its heartbeats to say.
+        The list lags behind, so it only adds addresses to contact. Whether a node is
+        alive is decided by its heartbeats.
         """
         configured = set(self.members.seeds)
         while True:
             try:
                 instances = self.instance_list.instances()
-            except Exception as error:  # any adapter's; the list is a help only
+            except Exception as error:  # any adapter's; the list is optional
                 log_event("instance_list_failed", error=error)
             else:
                 self.members.seeds = configured | self._listed_addresses(instances)
@@ -248,7 +251,8 @@
     Parameters
     ----------
     now : float
-        Seconds on this node's clock: facts travel with the time they have left.
+        Seconds on this node's clock. Facts are sent with their remaining time, since
+        the nodes' clocks differ.
     """
     datagram = IDL.Datagram(
         sender=_encode_member(digest.sender),
@@ -272,8 +276,8 @@
     Raises
     ------
     DatagramError
-        For anything else: the port is open to whoever can reach it, and the codec
-        raises errors of many types on garbled bytes.
+        If the bytes are anything else. Any host that reaches the port can send to it,
+        and the codec raises errors of many types on garbled bytes.
     """
     try:
         datagram = deserialize(IDL.Datagram(), data, PROTOCOL)
@@ -306,7 +310,7 @@
 def _decode_member(entry) -> Member:
     texts = (entry.id, entry.zone, entry.region, entry.peer_address)
     if not all(isinstance(text, str) and text for text in texts):
-        raise DatagramError("a member without a name or address")
+        raise DatagramError("member without id, zone, region or peer address")
     _, port = entry.gossip_address.rsplit(":", 1)
     int(port)
     return Member(
--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -1,4 +1,4 @@
-"""Announced reclaim of this node: its unfinished requests go to other nodes."""
+"""Transfers the unfinished requests of a node under a reclaim notice to others."""
 
 from dataclasses import dataclass, field
 
@@ -33,34 +33,38 @@
 
 BATCH_RECORDS = 200
 BATCH_BYTES = 262_144
-"""One call of a few milliseconds: a kill in the middle loses at most one batch."""
+"""Largest batch of one call, in bytes and records. A call takes a few milliseconds; if
+the node is killed in the middle of it, at most one batch is lost."""
 
 CALL_TIMEOUT_S = 1.0
-"""A target that is slower than this is passed over: the notice lasts about three
-seconds and the next target needs its share."""
+"""Time-out of one call, seconds. A slower target is skipped: the notice lasts about
+three seconds, and the next target needs part of them."""
 
 START_MARGIN_S = 0.5
-"""Added to the notice before a target takes the sender for dead."""
+"""Time after the end of the notice at which a target assumes that the sender is dead,
+seconds. For the same time before that end, requests are stopped and transferred too
+which otherwise run on here: non-idempotent ones and calls to plain services."""
 
 ROUND_PAUSE_S = 0.1
 ROUNDS_AFTER_NOTICE_S = 30.0
-"""How long a node that outlives its notice goes on trying."""
+"""How long a node that is still alive after its notice continues, seconds."""
 
 encode = msgspec.msgpack.encode
 
 
 class Handover:
-    """Gives this node's unfinished requests away when it is told to go.
+    """Transfers this node's unfinished requests when it gets a reclaim notice.
 
-    What goes wrong without it: the node is killed three seconds after its notice and
-    takes every waiting and running request along; callers see broken connections and
-    nobody has their answers. First all records go, then the answers so far; a request
-    is stopped here before it may start there, so that it has one owner.
+    The node is killed about three seconds after its notice. Without a transfer every
+    waiting and running request would be lost with it: callers would see broken
+    connections, and no node would hold their answers. The records of all requests are
+    sent first, then the answers generated so far. A request is stopped here before it
+    may start at the target, so that it has one owner at a time.
 
     Attributes
     ----------
     holders : dict
-        Peer address by request id, of what has gone.
+        Peer address of the new holder by request id, for each transferred request.
     """
 
     def __init__(
@@ -85,7 +89,7 @@
         notices.listeners.append(self.on_notice)
 
     def on_notice(self, notice: Notice) -> None:
-        """Begin if `notice` takes this node."""
+        """Start the handover if `notice` reclaims this node."""
         if self.started:
             return
         if self.notices.notice_for(self.section.id, self.section.zone) is notice:
@@ -93,7 +97,7 @@
             gevent.spawn(self.run, notice)
 
     def run(self, notice: Notice) -> None:
-        """Hand everything over; the body of a greenlet."""
+        """Transfer all unfinished requests; runs in a greenlet."""
         clock = self.serving.clock
         started_at = clock.now()
         self.serving.leaving = self.serving.stopping = True
@@ -121,12 +125,12 @@
             seconds=clock.now() - started_at,
         )
 
-    # What other nodes ask this one
+    # Called by other nodes
 
     def read_answer(
         self, organisation: str, request_id: str, key: str, start: int, wait_s: float
     ):
-        """Return a page of an answer that this node holds, or who holds it."""
+        """Return a page of an answer, or the address of the node that holds it now."""
         registry = self.serving.registry
         run = registry.get(request_id) if request_id else None
         if run is None and key:
@@ -144,15 +148,17 @@
 
 @dataclass
 class HandoverRounds:
-    """The rounds of one handover: records to each target, then answers.
+    """The rounds of one handover: each sends records first, then answers.
 
     Attributes
     ----------
     acknowledged : dict
-        Target address by id of the requests whose record a target holds, and which
-        this node still owns.
-    passed_over : set of str
-        Nodes that declined or did not answer.
+        Target address by request id, for the requests whose record a target holds
+        and which this node still owns.
+    failed_targets : set of str
+        Ids of the nodes that declined a call or did not respond.
+    first_pass_s : float or None
+        Seconds from the start of the handover until all records were sent once.
     """
 
     handover: Handover
@@ -166,7 +172,7 @@
         return [r for r in self.handover.serving.registry.unfinished() if not r.moved]
 
     def has_unfinished(self) -> bool:
-        """Return whether anything is left to give away or to tell a target."""
+        """Return whether any record or answer is still to be sent."""
         return bool(self.acknowledged or self.owned_runs())
 
     def send_records(self, runs: list[Run]) -> None:
@@ -213,7 +219,7 @@
             zones_under_notice=handover.notices.zones(),
             without=frozenset(gone),
         )
-        # A node that was slow once is better than none.
+        # A target that failed once is still better than none.
         fresh = [member for member in order if member.id not in self.failed_targets]
         return (fresh or order or [None])[0]
 
@@ -242,10 +248,10 @@
     def _send(
         self, method: str, peer_id: str, address: str, encoded: list[bytes]
     ) -> tuple[list[str], bool]:
-        """Send in batches; return the ids that the peer holds now.
+        """Send in batches; return the ids of the requests that the peer accepted.
 
-        The second value tells whether an answer was lost, so that the peer may hold
-        more.
+        The second value tells whether a response was lost, so that the peer may have
+        accepted more.
         """
         client = PeerClient(address, CALL_TIMEOUT_S)
         taken: list[str] = []
@@ -262,10 +268,11 @@
         return taken, False
 
     def send_answers(self) -> None:
-        """Stop what targets hold, and tell them to go on with the answers so far.
+        """Stop the requests whose records targets hold, and send the answers so far.
 
-        The longest answers go first: a request that isn't told of before the kill
-        starts again from nothing, which costs nothing for one that still waits.
+        The longest answers are sent first. A request whose answer is not sent before
+        the node is killed starts again from its prompt, which costs nothing if it was
+        still waiting.
         """
         registry = self.handover.serving.registry
         groups: dict[str, list[Run]] = {}
@@ -285,11 +292,12 @@
         gevent.joinall(jobs)
 
     def _may_transfer(self, run: Run) -> bool:
-        """Return whether a run may be stopped now.
+        """Return whether a run may be stopped and transferred now.
 
-        A non-idempotent request that a server may be running moves only if it ends
-        here first, or its server confirms that it stopped. A call to a plain service
-        has no answer so far that could be gone on with, and is short.
+        A non-idempotent request that a server may be running is transferred only if
+        it ends here first or its server confirms that it stopped. A call to a plain
+        service has no partial answer from which another node could continue, and it
+        is short, so it is left running until the notice is about to end.
         """
         record = run.record
         if record.ended or not run.dispatched:
@@ -326,14 +334,14 @@
                 self.handover.requests_given.add(1)
                 run.end_moved()
             elif uncertain and request.non_idempotent:
-                # The target may have started it although its answer was lost.
+                # The target may have started it although its response was lost.
                 run.end_unknown()
             else:
                 run.cancel_handover(uncertain=uncertain)
 
 
 def answer_of(run: Run) -> AnswerTransfer:
-    """Return a stopped run's answer so far."""
+    """Return the answer of a stopped run so far, as a transfer."""
     record = run.record
     error, plain = record.error, record.plain_response
     return AnswerTransfer(
--- a/packages/endive_node/src/endive_node/interfaces.py
+++ b/packages/endive_node/src/endive_node/interfaces.py
@@ -1,7 +1,7 @@
-"""The seams to everything outside the node, as Protocol types.
+"""Protocol types for everything outside of the node, and the errors they raise.
 
-The serving path knows only these; adapters for HTTP and thrift, and fakes in tests,
-take their places.
+The request path depends on these alone. Adapters for HTTP and thrift implement them,
+and so do fakes in tests.
 """
 
 from collections.abc import Iterator
@@ -14,12 +14,12 @@
 from endive_core.records import Snapshot
 
 READ_LIMIT = 1000
-"""Records asked for in one read: a page of changes stays well under a megabyte."""
+"""Most records of one read, so that a page of changes stays well below 1 MB."""
 
 
 @dataclass(frozen=True)
 class LogEntry:
-    """One record of a stream, as the log keeps it."""
+    """One record of a stream in the log."""
 
     offset: int
     body: str
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True)
 class LogPage:
-    """A run of records.
+    """Consecutive records of a stream.
 
     Attributes
     ----------
     first : int
-        Oldest offset that the log still keeps.
+        Oldest offset that the log retains.
     next : int
-        Offset that the stream's next record will get.
+        Offset of the next record that is appended to the stream.
     """
 
     first: int
@@ -52,10 +52,10 @@
         Raises
         ------
         LogUncertainError
-            If the answer was lost: the records may or may not be there, or may still
-            arrive.
+            If the response was lost: the records may be appended, now or later, or
+            not at all.
         LogUnavailableError
-            If the log said that it did not append.
+            If the records were certainly not appended.
         """
         ...
 
@@ -64,20 +64,20 @@
     ) -> LogPage:
         """Read from `start`, waiting up to `wait_s` seconds for a first record.
 
-        At most `limit` records come; :attr:`LogPage.next` is the stream's end.
+        Returns at most `limit` records; :attr:`LogPage.next` is the stream's end.
 
         Raises
         ------
         LogUnavailableError
-            If the log does not answer.
+            If the log does not respond.
         LogForgottenError
-            If `start` is older than the log keeps.
+            If `start` is older than the oldest record that the log retains.
         """
         ...
 
 
 class InstanceList(Protocol):
-    """The platform's list of live and leaving instances; it lags."""
+    """The platform's list of live and leaving instances, which lags behind."""
 
     def instances(self) -> list[dict[str, Any]]:
         """Return the listed instances."""
@@ -96,57 +96,58 @@
     """The rate-limited store of model weights."""
 
     def describe(self, name: str) -> dict[str, Any]:
-        """Return what the store knows of one version's weights."""
+        """Return the store's description of one version's weights."""
         ...
 
 
 class BackendServer(Protocol):
-    """One backend server, for one attempt at a time."""
+    """A backend server, as used by one attempt at a time."""
 
     def run(
         self, request: Request, attempt: int, tokens: list[str]
     ) -> Iterator[list[Piece]]:
-        """Send `request` and yield the answer's pieces as they come.
+        """Send `request` and yield the answer's pieces as they arrive.
 
         Parameters
         ----------
         tokens : list of str
-            The answer so far; generation goes on after it.
+            The answer so far; generation continues after it.
 
         Raises
         ------
         BackendError
-            With ``started`` telling whether the server may have run it.
+            If the attempt fails; its ``started`` tells whether the server may have
+            run the request.
         """
         ...
 
 
 class Peer(Protocol):
-    """Another node."""
+    """Another node, as a source of the configuration."""
 
     def pull_configuration(self) -> bytes:
-        """Return the peer's snapshot record, encoded."""
+        """Return the peer's configuration, as an encoded snapshot record."""
         ...
 
 
 class ConfigurationSource(Protocol):
-    """Other nodes, as a place to get the configuration from."""
+    """Other nodes, as a source of the configuration."""
 
     def highest_offset(self) -> int:
-        """Return the highest offset heard of, also from nodes that are gone."""
+        """Return the highest known offset, including that of nodes that are gone."""
         ...
 
     def reachable_offset(self) -> int:
-        """Return the highest offset of a node that can be asked; -1 if none can."""
+        """Return the highest offset of the reachable nodes; -1 if there are none."""
         ...
 
     def pull(self) -> Snapshot | None:
-        """Return the newest state that one of them holds, or ``None``."""
+        """Return the newest snapshot that one of them holds, or ``None``."""
         ...
 
 
 class Members(Protocol):
-    """The nodes this node knows to be there, itself among them."""
+    """The known nodes, including this one."""
 
     def live(self) -> list[Member]:
         """Return the live members, ordered by id."""
@@ -157,7 +158,7 @@
         ...
 
     def leave(self) -> None:
-        """Tell the others that this node takes nothing new."""
+        """Announce that this node accepts no new requests."""
         ...
 
 
@@ -165,19 +166,22 @@
     """Finds requests that other nodes hold."""
 
     def find_id(self, organisation: str, request_id: str) -> Any:
-        """Return a run to read the answer of `request_id` from, or ``None``."""
+        """Return a run that relays the answer of `request_id`, if any."""
         ...
 
     def find_key(self, organisation: str, key: str) -> Any:
-        """Return a run to read the answer from that `key` started, or ``None``."""
+        """Return a run that relays the answer of the request with `key`, if any."""
         ...
 
 
 class Claims(Protocol):
-    """The right to send a non-idempotent request, decided by the log's order."""
+    """The exclusive right to send a non-idempotent request.
+
+    The order of the claims in the log decides which of them holds.
+    """
 
     def check_age(self, request: Request) -> None:
-        """Refuse a key that is older than claims are kept.
+        """Refuse a request whose key is older than the time for which claims are kept.
 
         Raises
         ------
@@ -187,70 +191,72 @@
         ...
 
     def acquire(self, request: Request, continues: int = 0) -> Claimant:
-        """Return a held claim once this node alone may send `request`.
+        """Return a held claim once this node has the exclusive right to send `request`.
 
         Parameters
         ----------
         continues : int
-            For a request of which another node sent attempts and confirmed that they
-            were stopped, one more than the last one; else 0.
+            For a request whose attempts another node has sent and confirmed as
+            stopped: the number of the last attempt plus one. Otherwise 0.
 
         Raises
         ------
         EndiveError
             ``duplicate_request`` if another claim holds the key, ``log_unavailable``
-            if the log could not decide; nothing was sent.
+            if the log could not decide. In both cases nothing was sent.
         """
         ...
 
     def withdraw(self, claimant: Claimant) -> None:
-        """Withdraw a claim under which nothing was sent; free its key."""
+        """Withdraw a claim under which nothing was sent, which frees its key."""
         ...
 
 
 class Clock(Protocol):
-    """Time that only goes forward."""
+    """A monotonic clock."""
 
     def now(self) -> float:
-        """Return seconds since some fixed moment."""
+        """Return seconds since an arbitrary fixed moment."""
         ...
 
 
 class LogUnavailableError(Exception):
-    """The log did not take effect: it refused, or could not be reached."""
+    """The log refused a call or could not be reached; the call had no effect."""
 
 
 class LogThrottledError(LogUnavailableError):
-    """The log takes no append just now because of its rate limit."""
+    """The log refused an append because of its rate limit."""
 
 
 class LogOutcomeUnknownError(Exception):
-    """The log's answer was lost; the append may have taken effect or still may."""
+    """The response to an append was lost; it may have taken effect or still may."""
 
 
 class LogOffsetOutOfRangeError(Exception):
-    """The offset asked for is older than the log keeps."""
+    """The offset of a read is older than the oldest record that the log retains."""
 
     def __init__(self, first: int) -> None:
-        super().__init__(f"oldest kept offset is {first}")
+        super().__init__(
+            f"offset out of range: the oldest offset in the log is {first}"
+        )
         self.first = first
 
 
 class BackendError(Exception):
-    """An attempt at a backend server ended without a whole answer.
+    """An attempt at a backend server ended without a complete answer.
 
     Parameters
     ----------
     started : bool
         Whether the server may have run the request. ``False`` only if nothing was
-        sent or the server said that it refused before starting.
+        sent, or if the server responded that it refused before starting.
     stopped : bool
-        Whether the server confirmed that it makes no further token.
+        Whether the server confirmed that it generates no further token.
     reason : RetryReason
-        Why, for the counters and the retry decision.
+        The cause, for the counters and the retry decision.
     final_status : int or None
-        Set if the server rejected the request itself, so that no other server would
-        take it either.
+        HTTP status with which the server rejected the request itself, so that no
+        other server would accept it either; otherwise ``None``.
     """
 
     def __init__(self, message, *, started, reason, final_status=None, stopped=False):
@@ -262,8 +268,8 @@
 
 
 class RunPaused(BaseException):
-    """Thrown into the greenlet that drives a request which must stop here.
+    """Thrown into the greenlet that drives a request, to stop it at this node.
 
-    Like gevent's own time-outs it is no ``Exception``, so that code on the way which
-    handles failures doesn't take it for one.
+    Like gevent's own time-outs it is not an ``Exception``, so that code which handles
+    failures does not catch it.
     """
--- a/packages/endive_node/src/endive_node/logs.py
+++ b/packages/endive_node/src/endive_node/logs.py
@@ -1,15 +1,15 @@
-"""Logs: one line of key=value pairs for each event.
+"""Logging: one line of key=value pairs for each event.
 
-Programs choose where lines go. ``endive-node`` uses ``absl.logging``, whose handler
-takes the standard library's records. A gateway, which must start fast, uses the
-standard handler alone.
+The programs choose the handler. ``endive-node`` uses ``absl.logging``, whose handler
+accepts the records of the standard library. A gateway uses the standard handler alone,
+because it must start fast.
 """
 
 import logging
 from typing import Any
 
 logger = logging.getLogger("endive")
-"""Where all lines of this project go."""
+"""The logger of all packages."""
 
 logger.setLevel(logging.INFO)
 
@@ -20,7 +20,7 @@
 
 
 def log_failure(event: str, **fields: Any) -> None:
-    """Write one line, and the traceback of the exception that is being handled."""
+    """Write one line and the traceback of the exception being handled."""
     logger.error("%s", format_event(event, **fields), exc_info=True)
 
 
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -1,4 +1,4 @@
-"""The node: the central object that holds every part and is started and stopped."""
+"""The node: creates all parts of the process, starts and stops them."""
 
 import gevent
 from endive_core.members import MemberState
@@ -28,14 +28,14 @@
 
 DRAIN_POLL_S = 0.05
 MAX_DRAIN_S = 600.0
-"""Longest a planned stop waits for answers under way."""
+"""Longest time that a planned stop waits for unfinished answers, seconds."""
 
 
 class Node:
-    """One process of endivestack, the same on every instance.
+    """One serving process; every instance runs the same one.
 
-    Users meet it as ``endive-node``; tests make it with :meth:`from_settings` and
-    fakes for the platform.
+    The command ``endive-node`` runs it. Tests create it with :meth:`from_settings`
+    and fakes for the platform.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -88,7 +88,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> "Node":
-        """Return a node that is not started yet, its ports already bound."""
+        """Return a node whose ports are bound and which is not started yet."""
         return cls(settings)
 
     def _make_reclaim(self) -> None:
@@ -198,18 +198,18 @@
         )
 
     def join(self) -> None:
-        """Say that this node is live once it has a configuration."""
+        """Announce this node as live once it has a configuration."""
         self.configuration.ready.wait()
         if not self.serving.leaving:
             self.members.set_state(MemberState.LIVE)
 
     def drain(self) -> None:
-        """Stop as planned: take nothing new, finish every answer under way.
+        """Stop as planned: finish all answers under way and accept no new requests.
 
-        The balancer learns from /healthz, some time later, that this node goes. A
-        node that refuses calls at once, or closes its port, fails those that the
-        balancer still sends; so it says 503 there first and takes calls until the
-        balancer has looked.
+        The load balancer learns of the stop from /healthz, with a delay. If the node
+        refused calls or closed its port at once, the calls that the balancer still
+        sends would fail. It therefore first responds 503 on /healthz and accepts
+        calls for `drain_settle_s` seconds.
         """
         if self.serving.leaving:
             return
@@ -224,13 +224,13 @@
         self.stop()
 
     def _busy(self) -> bool:
-        """Return whether an answer is under way, to a caller or from a server."""
+        """Return whether an answer is in progress, to a caller or from a server."""
         return bool(
             self.serving.registry.unfinished() or self.callers.calls_in_progress
         )
 
     def stop(self) -> None:
-        """Stop at once what still runs."""
+        """Stop all listeners and loops at once."""
         self.callers.stop(timeout_s=1.0)
         self.operators.stop(timeout_s=1.0)
         self.peers.stop()
--- a/packages/endive_node/src/endive_node/notices.py
+++ b/packages/endive_node/src/endive_node/notices.py
@@ -1,4 +1,4 @@
-"""Watching the cloud's reclaim notices and the platform's instance list."""
+"""Polls the cloud's reclaim notices and the platform's instance list."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,10 +12,11 @@
 
 LEAVING = "leaving"
 LIST_POLL_S = 2.0
-"""Pause between two looks at the instance list, which lags by far more."""
+"""Time between two reads of the instance list, seconds; the list lags by far more."""
 
 NOTICE_RETENTION_S = 60.0
-"""How long after a notice requests are looked for at other nodes by their key."""
+"""How long a notice is kept after its end, and how long after a new notice requests are
+looked up at other nodes by their idempotency key, seconds."""
 
 PLATFORM_ERRORS = (
     urllib3.exceptions.HTTPError,
@@ -27,12 +28,12 @@
 
 @dataclass(frozen=True)
 class Notice:
-    """One announced reclaim, of an instance or of a whole zone.
+    """A reclaim notice for one instance or for a whole availability zone.
 
     Attributes
     ----------
     ends_at : float
-        Clock time in seconds at which the instances are gone; the killer may come
+        Clock time in seconds at which the instances are reclaimed; they may be killed
         earlier.
     """
 
@@ -47,10 +48,10 @@
 
 
 class NoticeTable:
-    """Which zones and instances are being reclaimed, as far as this node knows.
+    """The zones and instances under a reclaim notice, as far as this node knows.
 
-    The node's watcher and the heartbeats put notices up; the handover, the streams
-    that leave a server and the search for a request read them.
+    :class:`NoticeWatcher` and the gossip add notices. They are read by the handover,
+    by the moves of streams off a server and by the lookup of requests.
 
     Attributes
     ----------
@@ -65,7 +66,7 @@
         self.last_new_at: float | None = None
 
     def add(self, instance: str, zone: str, seconds_left: float) -> None:
-        """Note a notice; one that is known already is passed over."""
+        """Add a notice, unless one for the same subject is already known."""
         notice = Notice(instance, zone, self.clock.now() + seconds_left)
         known = self.by_subject.get(notice.subject)
         if known is not None and self.clock.now() < known.ends_at + NOTICE_RETENTION_S:
@@ -79,24 +80,24 @@
             listener(notice)
 
     def zones(self) -> frozenset[str]:
-        """Return the zones where something is being reclaimed.
+        """Return the zones in which something is being reclaimed.
 
-        A single instance's notice counts for its zone: the cloud takes a zone back
+        A single instance's notice counts for its zone: the cloud reclaims a zone
         instance by instance, and the next one may be the chosen target.
         """
         return frozenset(n.zone for n in self._unexpired() if n.zone)
 
     def instances(self) -> frozenset[str]:
-        """Return the instances that have a notice of their own."""
+        """Return the ids of the instances that have a notice of their own."""
         return frozenset(n.instance for n in self._unexpired() if n.instance)
 
     def notice_for(self, instance: str, zone: str) -> Notice | None:
-        """Return the notice that takes `instance` in `zone`, or ``None``."""
+        """Return the notice that reclaims `instance` in `zone`, or ``None``."""
         by_instance = self.by_subject.get((instance, ""))
         return by_instance or self.by_subject.get(("", zone))
 
     def has_recent(self) -> bool:
-        """Return whether requests may have changed nodes lately."""
+        """Return whether requests may have changed nodes recently."""
         if self.last_new_at is None:
             return False
         return self.clock.now() - self.last_new_at < NOTICE_RETENTION_S
@@ -110,9 +111,9 @@
 
 
 class NoticeWatcher:
-    """Asks the platform for notices and puts them up on the board.
+    """Polls the platform for notices and adds them to the :class:`NoticeTable`.
 
-    Operators see each as a ``reclaim_notice`` line in the log.
+    Each new notice is logged as ``reclaim_notice``.
     """
 
     def __init__(
@@ -128,7 +129,7 @@
         self.poll_s = poll_s
 
     def watch_notices(self) -> None:
-        """Ask the cloud for ever; the body of a greenlet."""
+        """Poll the cloud's notices in an endless loop; runs in a greenlet."""
         while self.cloud is not None:
             try:
                 for notice in self.cloud.notices():
@@ -142,10 +143,10 @@
             gevent.sleep(self.poll_s)
 
     def watch_list(self) -> None:
-        """Look at the lagging list for ever; the body of a greenlet.
+        """Poll the instance list in an endless loop; runs in a greenlet.
 
-        The list says neither when an instance goes nor that its whole zone does, so
-        its entries count for the instance alone.
+        The list says neither when an instance is reclaimed nor whether its whole zone
+        is, so an entry counts for that instance alone.
         """
         while self.instances is not None:
             try:
--- a/packages/endive_node/src/endive_node/operators.py
+++ b/packages/endive_node/src/endive_node/operators.py
@@ -27,18 +27,18 @@
 from endive_node.watching import Watch
 
 MAX_BODY_BYTES = 1_000_000
-"""Largest resource: 2,600 servers in one service are about 300 kB."""
+"""Largest request body, bytes. A service with 2,600 servers has about 300 kB."""
 
 
 @dataclass(frozen=True)
 class Operator:
-    """Who calls, and whose resources they may see and change."""
+    """An authenticated operator, and the organisation whose resources it may access."""
 
     name: str
     organisation: str
 
     def may_access(self, owner: str) -> bool:
-        """Return whether resources of `owner` are this operator's to see."""
+        """Return whether the operator may see and change resources of `owner`."""
         return self.organisation in (ALL_ORGANISATIONS, owner)
 
 
@@ -48,11 +48,11 @@
     Attributes
     ----------
     expected_version : int or None
-        Apply only over this version; -1 for "must not exist".
+        Apply only if this is the current version; -1 if none may exist.
     change_id : str
-        Chosen by the caller; a change sent again with the same id is applied once.
+        Chosen by the caller; a change sent repeatedly with one id is applied once.
     dry_run : bool
-        Check everything and change nothing.
+        Validate the change without applying it.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -63,7 +63,13 @@
 
     @classmethod
     def from_query(cls, query) -> "ChangeOptions":
-        """Return the checked options of a call."""
+        """Return the validated options of a call.
+
+        Raises
+        ------
+        EndiveError
+            ``invalid_field`` if a parameter is unknown or not valid.
+        """
         try:
             return cls.model_validate(dict(query))
         except ValidationError as error:
@@ -75,7 +81,7 @@
 
 
 class OperatorApi:
-    """What operators reach on the node's operators' port.
+    """The HTTP API on the operators' port of the node.
 
     Attributes
     ----------
@@ -101,7 +107,7 @@
         route("/metrics", "GET", self.authenticated(self.scrape))
 
     def authenticated(self, method):
-        """Return `method` behind the token check, its errors made into answers."""
+        """Return `method` behind a token check, with its errors as responses."""
 
         def call(**path):
             bottle.response.content_type = "application/json"
@@ -117,8 +123,13 @@
     def authenticate(self) -> Operator:
         """Return the operator whose token the call carries.
 
-        Every hash is compared, each in constant time, so that the time taken tells
-        nothing about the tokens.
+        All hashes are compared, each in constant time, so that the response time
+        discloses nothing about the tokens.
+
+        Raises
+        ------
+        EndiveError
+            ``unauthenticated`` if no operator has this token.
         """
         header = bottle.request.get_header("Authorization", "")
         given = hash_key(header.removeprefix(BEARER))
@@ -133,7 +144,7 @@
         return found
 
     def list(self, operator: Operator, kind: str) -> dict:
-        """Return all resources of a kind that the operator may see."""
+        """Return the resources of a kind that the operator may see."""
         fold = self.configuration.fold
         return {
             "version": fold.offset,
@@ -179,7 +190,7 @@
         return watch.events()
 
     def status(self, operator: Operator) -> dict:
-        """Return this node's state; an organisation's operator sees no others'."""
+        """Return this node's state, with only the servers the operator may see."""
         status = self.reports.status()
         if operator.organisation != ALL_ORGANISATIONS:
             visible = {
@@ -194,14 +205,14 @@
         return status
 
     def explain(self, operator: Operator, request_id: str) -> dict:
-        """Return what became of a request, wherever it was accepted."""
-        trail = self.reports.explanation(request_id)
-        if not operator.may_access(trail["organisation"]):
-            raise EndiveError(ErrorKind.UNKNOWN_REQUEST, "no notes of this request")
-        return trail
+        """Return the trace of a request, whichever node accepted it."""
+        trace = self.reports.explanation(request_id)
+        if not operator.may_access(trace["organisation"]):
+            raise EndiveError(ErrorKind.UNKNOWN_REQUEST, "no trace of this request")
+        return trace
 
     def scrape(self, _operator: Operator) -> bytes:
-        """Return the metrics page; it holds no names, so any operator may read it."""
+        """Return the metrics page, which any operator may read as it holds no names."""
         bottle.response.content_type = "text/plain; version=0.0.4"
         return self.metrics.page()
 
@@ -225,7 +236,7 @@
             if body.setdefault(key, value) != value:
                 raise EndiveError(
                     ErrorKind.INVALID_RESOURCE,
-                    f"the {key} in the body is not the one in the path",
+                    f"the {key} in the body differs from the {key} in the path",
                 )
         return Resource.from_body(body)
 
@@ -260,7 +271,10 @@
         return {"version": outcome.version, "change_id": change.change_id}
 
     def _dry_run(self, change: Change) -> dict:
-        """Answer as if `change` were made now; another may still come before it."""
+        """Validate `change` without applying it.
+
+        Another change may still be applied before it is submitted.
+        """
         stored = self.configuration.fold.get(change.kind, change.name)
         self.configuration.check(change)
         return {
@@ -284,7 +298,13 @@
 
 
 def parse_kind(kind: str) -> ResourceKind:
-    """Return the resource kind that a path names."""
+    """Return the resource kind named in a path.
+
+    Raises
+    ------
+    EndiveError
+        ``not_found`` if there is no such kind.
+    """
     try:
         return ResourceKind(kind)
     except ValueError:
--- a/packages/endive_node/src/endive_node/peers.py
+++ b/packages/endive_node/src/endive_node/peers.py
@@ -1,4 +1,4 @@
-"""Calls between nodes over thrift."""
+"""Thrift calls between nodes: handler, listener and clients."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -26,19 +26,19 @@
 IDLE_TIMEOUT_S = 60.0
 CALL_TIMEOUT_S = 2.0
 MAX_PULL_ATTEMPTS = 3
-"""Members asked for the configuration in one try, those with the latest first."""
+"""Most members that one pull asks for the configuration, the newest one first."""
 
 
 class PeerUnavailableError(Exception):
-    """A peer did not answer; it may or may not have done what was asked."""
+    """A peer did not respond; it may or may not have executed the call."""
 
 
 class PeerUnreachableError(PeerUnavailableError):
-    """No connection to a peer was made; it has done nothing."""
+    """No connection to a peer was made; the call was not executed."""
 
 
 class PeerHandler:
-    """What this node does for others: the methods of ``peers.thrift``."""
+    """Handles the calls of other nodes: the methods of ``peers.thrift``."""
 
     def __init__(
         self,
@@ -64,13 +64,15 @@
         return self.node_id
 
     def pull_configuration(self) -> str:
-        """Return the configuration in force, as a snapshot record."""
+        """Return the configuration in force, as an encoded snapshot record."""
         if not self.configuration.ready.is_set():
-            raise IDL.PeerError(kind="not_ready", message="no configuration yet")
+            raise IDL.PeerError(
+                kind="not_ready", message="this node has no configuration yet"
+            )
         return encode(self.configuration.fold.snapshot())
 
     def explain_request(self, request_id: str) -> str:
-        """Return the notes of a request, as JSON."""
+        """Return the trace of a request, as JSON."""
         try:
             shown = self.traces.get(request_id).to_dict(self.node_id)
         except EndiveError as error:
@@ -79,12 +81,12 @@
 
 
 class PeerConfigurationSource:
-    """The members, as :class:`~.interfaces.ConfigurationSource`.
+    """The gossip members, as a :class:`~.interfaces.ConfigurationSource`.
 
     Parameters
     ----------
     shuffle : callable
-        Shuffles a list in place: else all nodes that lag would ask the same member.
+        Shuffles a list in place, so that not all lagging nodes ask the same member.
     """
 
     def __init__(self, members: Membership, shuffle: Callable[[list], None]) -> None:
@@ -114,14 +116,14 @@
 
 
 class TransferReceiver(Protocol):
-    """Takes over requests of a node that leaves, and tells their answers."""
+    """Takes over the requests of a leaving node and serves their answers."""
 
     def take_requests(self, sender: str, encoded: list[bytes]) -> list[str]:
-        """Return the ids of the requests that this node holds now."""
+        """Store transferred requests; return the ids of those accepted."""
         ...
 
     def take_answers(self, sender: str, encoded: list[bytes]) -> list[str]:
-        """Return the ids of the requests that go on at this node now."""
+        """Continue from transferred answers; return the ids of the requests."""
         ...
 
     def read_answer(
@@ -132,7 +134,7 @@
 
 
 class ClaimAppender(Protocol):
-    """Appends other nodes' claims and releases to the log."""
+    """Appends the claims and releases of other nodes to the log."""
 
     def take_claim(self, record: str):
         """Return a ``ClaimAnswer``."""
@@ -147,7 +149,7 @@
     """The thrift listener of a node.
 
     thriftpy2's own threaded server prints a traceback when an idle connection times
-    out; this one closes the connection quietly.
+    out. This one closes the connection without one.
     """
 
     def __init__(self, handler: PeerHandler, address: str, port: int) -> None:
@@ -157,7 +159,7 @@
         self.server = StreamServer(self.socket, self.serve_connection)
 
     def start(self) -> None:
-        """Begin to accept connections."""
+        """Start to accept connections."""
         self.server.start()
 
     def stop(self) -> None:
@@ -165,7 +167,7 @@
         self.server.stop(timeout=0)
 
     def serve_connection(self, connection, _address) -> None:
-        """Answer calls until the peer hangs up or stays idle."""
+        """Process calls until the peer disconnects or the idle time-out is over."""
         transport = TSocket()
         transport.set_handle(connection)
         transport.set_timeout(IDLE_TIMEOUT_S * 1000)
@@ -181,7 +183,10 @@
 
 
 class PeerClient:
-    """Another node; one connection a call, since calls are rare."""
+    """A client of another node that opens a connection for each call.
+
+    The calls are rare, so connections are not kept.
+    """
 
     def __init__(self, peer_address: str, timeout_s: float = CALL_TIMEOUT_S) -> None:
         host, port = peer_address.rsplit(":", 1)
@@ -190,12 +195,16 @@
         self.timeout_s = timeout_s
 
     def call(self, method: str, *arguments):
-        """Call `method`; a ``PeerError`` the peer raised passes through.
+        """Call `method` and return its result.
 
         Raises
         ------
+        PeerError
+            If the peer raised it.
+        PeerUnreachableError
+            If no connection was made.
         PeerUnavailableError
-            If no answer came.
+            If no response arrived.
         """
         try:
             client = make_client(
@@ -217,18 +226,23 @@
         return self.call("ping")
 
     def pull_configuration(self) -> str:
-        """Return the peer's configuration as a snapshot record."""
+        """Return the peer's configuration, as an encoded snapshot record."""
         return self.call("pull_configuration")
 
     def explain_request(self, request_id: str) -> str:
-        """Return the notes of a request that the peer accepted, as JSON."""
+        """Return the trace of a request that the peer accepted, as JSON."""
         return self.call("explain_request", request_id)
 
 
 class PeerConnection:
-    """Another node, over one connection that is kept between calls.
+    """A client of another node that keeps one connection open between calls.
+
+    It is used to relay an answer to a caller page by page.
 
-    For a caller's answer that is passed on page by page.
+    Raises
+    ------
+    PeerUnreachableError
+        If no connection was made.
     """
 
     def __init__(self, peer_address: str, timeout_s: float = CALL_TIMEOUT_S) -> None:
--- a/packages/endive_node/src/endive_node/platform.py
+++ b/packages/endive_node/src/endive_node/platform.py
@@ -1,4 +1,4 @@
-"""Adapters to the platform's services over their HTTP protocols."""
+"""HTTP clients of the platform's log, instance list and cloud API."""
 
 from typing import Any
 from urllib.parse import quote
@@ -20,11 +20,11 @@
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
 )
-"""Errors after which nothing can have been sent."""
+"""Errors that occur before anything can have been sent."""
 
 
 class HttpService:
-    """One platform service behind a base address; the base of the adapters."""
+    """HTTP client of one platform service at a base address."""
 
     def __init__(self, base: str, timeout_s: float) -> None:
         self.base = base
@@ -34,7 +34,15 @@
     def call(
         self, method: str, path: str, body: Any = None, *, extra_s: float = 0.0
     ) -> tuple[int, Any]:
-        """Return status and decoded body; urllib3's errors pass through."""
+        """Return status and decoded body.
+
+        Raises
+        ------
+        urllib3.exceptions.HTTPError
+            If the call fails.
+        msgspec.DecodeError
+            If the body is not JSON.
+        """
         response = self.pool.request(
             method,
             self.base + path,
@@ -50,8 +58,8 @@
 class HttpLog:
     """The platform's log.
 
-    An append whose answer is lost is told apart from one that was refused, since the
-    first may have taken effect: the caller settles it by reading on.
+    An append whose response is lost raises another error than one that was refused,
+    since it may have taken effect. The caller finds out by reading the stream.
     """
 
     def __init__(self, base: str, timeout_s: float) -> None:
@@ -69,10 +77,10 @@
         if status == 200:
             return body["offset"]
         if status == 429:
-            raise LogThrottledError("over the log's rate limit")
+            raise LogThrottledError("the log's rate limit is exceeded (status 429)")
         if status == 503:
-            raise LogUnavailableError(f"status {status}")
-        raise LogOutcomeUnknownError(f"status {status}")
+            raise LogUnavailableError(f"the log responded with status {status}")
+        raise LogOutcomeUnknownError(f"the log responded with status {status}")
 
     def read(
         self, stream: str, start: int, *, wait_s: float = 0.0, limit: int = READ_LIMIT
@@ -89,22 +97,24 @@
         try:
             return _page(status, body)
         except (KeyError, TypeError) as error:
-            # An answer of another shape must not end the loop that reads on: the node
+            # A malformed response must not end the loop that reads the log: the node
             # would keep an old configuration for ever.
-            raise LogUnavailableError(f"not understood: {error!r}") from None
+            raise LogUnavailableError(
+                f"malformed response of the log: {error!r}"
+            ) from None
 
 
 def _page(status: int, body: Any) -> LogPage:
     if status == 410:
         raise LogOffsetOutOfRangeError(body["error"]["first"])
     if status != 200:
-        raise LogUnavailableError(f"status {status}")
+        raise LogUnavailableError(f"the log responded with status {status}")
     entries = [LogEntry(r["offset"], r["body"], r["time"]) for r in body["records"]]
     return LogPage(body["first"], body["next"], entries)
 
 
 class HttpInstanceList:
-    """The platform's lagging list of instances."""
+    """The platform's list of instances, which lags behind."""
 
     def __init__(self, base: str, timeout_s: float) -> None:
         self.service = HttpService(base, timeout_s)
--- a/packages/endive_node/src/endive_node/reporting.py
+++ b/packages/endive_node/src/endive_node/reporting.py
@@ -1,4 +1,4 @@
-"""What operators are shown: the state of a resource, and of this node."""
+"""Status reports for operators: of a resource and of this node."""
 
 from dataclasses import asdict
 
@@ -13,14 +13,15 @@
 
 
 def resource_body(stored: StoredResource) -> dict:
-    """Return a resource as operators read and write it, with its version."""
+    """Return the body of a resource, with its version."""
     return stored.body | {"version": stored.version}
 
 
 class Reports:
-    """Answers operators' questions from the parts of one node.
+    """Collects status reports from the parts of one node.
 
-    Operators meet it as the ``status`` of a resource and as ``endivectl status``.
+    They are the ``status`` of a resource and the output of ``endivectl status`` and
+    ``endivectl explain``.
     """
 
     def __init__(self, node) -> None:
@@ -31,7 +32,7 @@
         return resource_body(stored) | {"status": self.resource_status(stored)}
 
     def resource_status(self, stored: StoredResource) -> dict:
-        """Return what is in force, since when, where, and why something is not."""
+        """Return whether the resource is in force on all nodes, and if not, why."""
         members = self.node.members.live()
         behind = nodes_behind(members, stored.version)
         reasons = findings(self.node.configuration.catalogue, stored.kind, stored.name)
@@ -47,7 +48,7 @@
         }
 
     def explanation(self, request_id: str) -> dict:
-        """Return the notes of a request, from the node that its id names."""
+        """Return the trace of a request, from the node named in its id."""
         own_id = self.node.settings.node.id
         accepted_by = origin_in(request_id)
         peer = self._member(accepted_by)
@@ -57,7 +58,8 @@
             answer = PeerClient(peer.peer_address).explain_request(request_id)
         except (IDL.PeerError, PeerUnavailableError) as error:
             raise EndiveError(
-                ErrorKind.UNKNOWN_REQUEST, f"{accepted_by} has no notes of it: {error}"
+                ErrorKind.UNKNOWN_REQUEST,
+                f"node {accepted_by} returned no trace of it: {error}",
             ) from None
         return msgspec.json.decode(answer)
 
@@ -66,7 +68,7 @@
         return next(found, None)
 
     def status(self) -> dict:
-        """Return the state of this node and what it knows of the others."""
+        """Return the state of this node and of the other nodes that it knows."""
         node = self.node
         return {
             "node": node.settings.node.id,
@@ -90,19 +92,19 @@
         }
 
     def configuration(self) -> dict:
-        """Return the version in force, and how long ago the log was last read."""
+        """Return the version in force and the seconds since the log was last read."""
         configuration = self.node.configuration
         last = configuration.last_read_at
         age = None if last is None else self.node.clock.now() - last
         return {"version": configuration.fold.offset, "log_read_s_ago": age}
 
     def queues(self) -> dict[str, int]:
-        """Return how many requests wait in each service's queue."""
+        """Return the length of each service's queue."""
         schedulers = self.node.dispatcher.schedulers.items()
         return {name: len(scheduler.queue) for name, scheduler in schedulers}
 
     def servers(self) -> list[dict]:
-        """Return the backend servers as this node sees them."""
+        """Return this node's view of the backend servers."""
         return [
             asdict(view)
             for views in self.node.dispatcher.servers.values()
@@ -111,12 +113,12 @@
 
 
 def nodes_behind(members: list[Member], version: int) -> list[str]:
-    """Return the ids of the members that don't have `version` in force."""
+    """Return the ids of the members whose configuration is older than `version`."""
     return [m.id for m in members if m.configuration_offset < version]
 
 
 def member_status(member: Member) -> dict:
-    """Return a member as operators see it."""
+    """Return the state of a member, as operators see it."""
     return {
         "id": member.id,
         "zone": member.zone,
--- a/packages/endive_node/src/endive_node/server_polling.py
+++ b/packages/endive_node/src/endive_node/server_polling.py
@@ -1,4 +1,4 @@
-"""Reading what the decisions need: load reports, cache events, the number of nodes."""
+"""Polls the load reports and cache events of backend servers, and counts the nodes."""
 
 import time
 
@@ -16,11 +16,11 @@
 from endive_node.settings import BackendSection
 
 MAX_CONCURRENT_READS = 16
-"""Reports read at a time: one server that hangs must not delay the others' reports."""
+"""Most reads at a time, so that one server that hangs does not delay the others."""
 
 CACHE_EVENT_ROUNDS = 2
-"""Cache events are read every second time: they are late anyway, and a conversation's
-next turn comes seconds later."""
+"""Number of rounds of load reports for each round of cache events. Cache events are
+late anyway, and the next turn of a conversation follows only seconds later."""
 
 READ_ERRORS = (
     urllib3.exceptions.HTTPError,
@@ -29,15 +29,15 @@
     TypeError,
     ValueError,
 )
-"""A report that can't be read is left out: the last one and what this node sent since
-still stand, and calls that fail show whether the server is there."""
+"""Errors after which a report is skipped. The last report and the requests sent since
+then still count, and failing requests show whether the server is there."""
 
 
 class ServerPoller:
-    """Follows load and cache of all servers.
+    """Polls the load and the cache events of all servers.
 
-    Operators meet it through the settings that bound it: with many servers each one's
-    report is read less often, so that reading costs a node the same.
+    Its rate is bounded by the setting `max_report_polls_per_s`: with many servers
+    each one is polled less often, so that the cost for a node stays the same.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.next_event_seq: dict[str, int] = {}
 
     def follow(self) -> None:
-        """Read all reports again and again; the body of a greenlet."""
+        """Poll all servers in an endless loop; runs in a greenlet."""
         while True:
             started_at = self.clock.now()
             self.round += 1
@@ -76,7 +76,7 @@
             gevent.sleep(max(0.0, started_at + round_s - self.clock.now()))
 
     def read(self, scheduler: Scheduler, view: ServerView) -> None:
-        """Read one server's report, and an engine's cache events."""
+        """Read one server's load report and, for an engine, its cache events."""
         try:
             self._read_load(scheduler, view)
             if scheduler.service_type is ServiceType.ENGINE and self._is_event_round():
@@ -91,8 +91,9 @@
     def _read_load(self, scheduler: Scheduler, view: ServerView) -> None:
         sent_at = self.clock.now()
         body = self.clients.fetch_json(view.address, "/load")
-        # The state is as old as the report says, and at least as old as the question:
-        # with a clock ahead of ours, own sends would be taken to be in it already.
+        # The report's state is as old as its time says, and at least as old as this
+        # call. If the server's clock is ahead, requests that this node has sent since
+        # would otherwise count as included in the report.
         age = max(0.0, time.time() - float(body.get("time", time.time())))
         as_of = min(sent_at, self.clock.now() - age)
         scheduler.report(
@@ -103,7 +104,7 @@
         start = self.next_event_seq.get(view.id, 0)
         body = self.clients.fetch_json(view.address, f"/cache/events?from={start}")
         if body["next"] < start:
-            # The numbers start again at 0 after a restart, with an empty cache.
+            # After a restart the sequence starts at 0 again, with an empty cache.
             scheduler.placement.prefixes.forget_server(view.id)
         for event in body["events"]:
             scheduler.cache_event(
--- a/packages/endive_node/src/endive_node/settings.py
+++ b/packages/endive_node/src/endive_node/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node: TOML in, checked models out.
+"""Settings of a node, read from TOML and validated by pydantic models.
 
 Every setting has a unit in its name or its description and a default that
 docs/OPERATIONS.md lists.
@@ -25,7 +25,7 @@
 
 
 def _policy_section() -> type[_Section]:
-    """Return the model that checks a table of :class:`Policy`'s limits."""
+    """Return the model that validates the limits of :class:`Policy`."""
     checked = {}
     for limit in fields(Policy):
         declared = Field(
@@ -41,7 +41,7 @@
 
 
 class NodeSection(_Section):
-    """Who and where this node is."""
+    """Identity, zone and ports of this node."""
 
     id: Name = Field(description="name of this node, unique among all nodes")
     zone: Name = Field(description="availability zone it runs in")
@@ -60,7 +60,7 @@
 
 
 class PlatformSection(_Section):
-    """Where the platform's services are."""
+    """Addresses of the platform's services."""
 
     log: Url = Field(description="address of the log")
     instances: Url | None = Field(None, description="address of the instance list")
@@ -73,7 +73,7 @@
 
 
 class PeerEntry(_Section):
-    """A node to talk to before any heartbeat was heard."""
+    """A node that is contacted before any heartbeat was received."""
 
     id: Name = Field(description="the peer's id")
     zone: Name = Field(description="the peer's zone")
@@ -82,7 +82,7 @@
 
 
 class OperatorEntry(_Section):
-    """One operator's token and what it may touch."""
+    """One operator's token and the organisation whose resources it may access."""
 
     name: Name = Field(description="operator's name, written into each change")
     token_hash: str = Field(
@@ -94,7 +94,7 @@
 
 
 class LimitsSection(_Section):
-    """Bounds on one call and on what a node holds."""
+    """Limits for one call and for the requests that a node keeps."""
 
     max_body_bytes: int = Field(
         4_000_000, ge=1, description="largest body a caller may send, bytes"
@@ -111,7 +111,7 @@
 
 
 class BackendSection(_Section):
-    """How backend servers are called."""
+    """Time-outs and polling rates for backend servers."""
 
     connect_timeout_s: float = Field(0.5, gt=0, description="time to connect, seconds")
     stall_timeout_s: float = Field(
@@ -126,7 +126,7 @@
 
 
 class ClaimsSection(_Section):
-    """How non-idempotent requests are claimed in the log."""
+    """Claims of non-idempotent requests in the log."""
 
     window_s: float = Field(
         CLAIM_WINDOW_S,
@@ -146,7 +146,7 @@
 
 
 class ConfigurationSection(_Section):
-    """How the configuration is kept in the log."""
+    """Snapshots of the configuration in the log."""
 
     snapshot_every_s: float = Field(
         3600.0,
@@ -160,7 +160,7 @@
 
 
 class MembershipSection(_Section):
-    """How nodes hear of each other."""
+    """Heartbeats and failure detection between nodes."""
 
     datagrams_per_s: float = Field(
         3.0, gt=0, le=50, description="heartbeats a node sends, each to one other"
@@ -189,12 +189,13 @@
 
     @classmethod
     def from_file(cls, path: str | Path) -> "Settings":
-        """Read and check the settings in the TOML file at `path`.
+        """Read and validate the settings in the TOML file at `path`.
 
         Raises
         ------
         SettingsError
-            With one line that names the key, what was found and what is allowed.
+            If the file can't be read or a setting is not valid. The message is one
+            line with the key, the value found and what is allowed.
         """
         try:
             value = tomllib.loads(Path(path).read_text(encoding="utf-8"))
@@ -206,7 +207,7 @@
 
     @classmethod
     def from_config(cls, value: dict, *, source: str = "settings") -> "Settings":
-        """Check a decoded settings table; see :meth:`from_file`."""
+        """Validate a decoded settings table; see :meth:`from_file`."""
         try:
             return cls.model_validate(value)
         except ValidationError as error:
@@ -226,7 +227,7 @@
 
 @dataclass(frozen=True)
 class SettingRow:
-    """One setting, as the operators' page lists it."""
+    """One setting, as listed in docs/OPERATIONS.md."""
 
     key: str
     default: str
@@ -238,7 +239,7 @@
 ) -> list[SettingRow]:
     """Return every setting with its default and description, in order.
 
-    The key of a setting in a table that may be repeated ends its table in ``[]``.
+    In the key of a setting whose table may be repeated, ``[]`` follows the table.
     """
     rows = []
     for name, field in model.model_fields.items():
@@ -255,7 +256,7 @@
 
 
 def _section_of(annotation) -> tuple[type[BaseModel] | None, bool]:
-    """Return the model behind a field's type, if it is a table, and if it repeats."""
+    """Return the model of a field's type, if any, and whether its table repeats."""
     candidates = [annotation, *get_args(annotation)]
     for candidate in candidates:
         if isinstance(candidate, type) and issubclass(candidate, BaseModel):
--- a/packages/endive_node/src/endive_node/snapshot_writer.py
+++ b/packages/endive_node/src/endive_node/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writing snapshots of the configuration to the log."""
+"""Writes snapshots of the configuration to the log."""
 
 import gevent
 from endive_core.hashing import rendezvous_order
@@ -16,17 +16,18 @@
 
 CHECK_INTERVAL_S = 1.0
 RANK_DELAY_S = 10.0
-"""Time that each node in the order waits longer than the one before it: the first
-normally writes, and the next do if it is gone."""
+"""Additional delay of each node in the rendezvous order, seconds. The first one
+normally writes the snapshot; the next ones do if it is gone. It is also the pause after
+a failed write."""
 
 
 class SnapshotWriter:
-    """Appends a snapshot now and then, so that the log may forget what is before it.
+    """Appends snapshots to the stream ``configuration-snapshots`` at intervals.
 
-    Operators meet it as the stream ``configuration-snapshots``. Without snapshots the
-    log's retention would in time drop the changes that are in force, and a new node
-    would find a configuration with holes, or none. Two nodes that both write do no
-    harm: equal states give equal snapshots.
+    Without snapshots the log's retention would eventually drop changes that are still
+    in force, and a starting node would read an incomplete configuration or none. If
+    two nodes write at the same time, nothing is lost: equal states give equal
+    snapshots.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         self.records_due_since = configuration.clock.now()
 
     def run(self) -> None:
-        """Write whenever it is this node's turn, for ever; the body of a greenlet."""
+        """Write whenever it is this node's turn; runs in a greenlet."""
         self.configuration.ready.wait()
         while True:
             if self.is_due():
@@ -53,8 +54,8 @@
     def is_due(self) -> bool:
         """Return whether it is this node's turn to write.
 
-        Also without any change a snapshot is due in time: the log forgets the last one
-        like all other records.
+        A snapshot is also due after some time without any change, because the log's
+        retention drops the last snapshot like any other record.
         """
         configuration = self.configuration
         if configuration.fold.offset < 0:
@@ -76,7 +77,7 @@
         return order.index(self.node_id) if self.node_id in order else len(order)
 
     def write(self) -> None:
-        """Append a snapshot, then tell all nodes that it is there."""
+        """Append a snapshot, then a record that announces it to all nodes."""
         configuration = self.configuration
         snapshot = configuration.fold.snapshot()
         try:
--- a/packages/endive_node/src/endive_node/snapshots.py
+++ b/packages/endive_node/src/endive_node/snapshots.py
@@ -1,4 +1,4 @@
-"""Finding the newest snapshot of the configuration in the log."""
+"""Finds the newest snapshot of the configuration in the log."""
 
 from collections.abc import Callable
 
@@ -12,12 +12,12 @@
 def newest_snapshot(
     log: LogService, is_usable: Callable[[Snapshot], bool]
 ) -> Snapshot | None:
-    """Return the newest usable snapshot that the log still keeps, or ``None``.
+    """Return the newest usable snapshot that the log retains, or ``None``.
 
     Raises
     ------
     LogUnavailableError
-        If the log does not answer.
+        If the log does not respond.
     """
     try:
         page = log.read(SNAPSHOT_STREAM, 0, limit=1)
@@ -31,7 +31,7 @@
 
 
 def _snapshot_at(log: LogService, offset: int) -> Snapshot | None:
-    """Return the snapshot at `offset`; ``None`` if it was forgotten or is newer."""
+    """Return the snapshot at `offset`; ``None`` if it is not kept or not understood."""
     try:
         page = log.read(SNAPSHOT_STREAM, offset, limit=1)
         record = decode(page.entries[0].body) if page.entries else None
--- a/packages/endive_node/src/endive_node/sockets.py
+++ b/packages/endive_node/src/endive_node/sockets.py
@@ -8,8 +8,8 @@
 def listen_tcp(address: str, port: int) -> socket.socket:
     """Return a listening socket with ``TCP_NODELAY``, which accepted ones inherit.
 
-    Without it Nagle's algorithm holds a small event back until the receiver's delayed
-    ACK comes, 40 ms later: a stream's tokens arrive in bursts.
+    Without it, Nagle's algorithm holds a small event back until the receiver's
+    delayed ACK arrives, 40 ms later, and a stream's tokens arrive in bursts.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/packages/endive_node/src/endive_node/takeover.py
+++ b/packages/endive_node/src/endive_node/takeover.py
@@ -1,4 +1,4 @@
-"""Requests that other nodes give away: held here until they may go on."""
+"""Takes over requests of nodes under a reclaim notice; holds them until they resume."""
 
 import gevent
 import msgspec
@@ -14,16 +14,16 @@
 
 
 class Takeover:
-    """Takes over the requests of nodes that are told to go."""
+    """Receives the requests and answers that leaving nodes transfer."""
 
     def __init__(self, serving: Serving) -> None:
         self.serving = serving
         self.requests_taken = serving.metrics.counter("endive_handover_requests_taken")
 
     def take_requests(self, sender: str, encoded: list[bytes]) -> list[str]:
-        """Hold requests that `sender` gives away; return the ids held."""
+        """Store requests that `sender` transfers; return the ids of those accepted."""
         if self.serving.stopping:
-            raise IDL.PeerError(kind="stopping", message="this node leaves too")
+            raise IDL.PeerError(kind="stopping", message="this node is stopping too")
         accepted = []
         for data in encoded:
             transfer = msgspec.msgpack.decode(data, type=RequestTransfer)
@@ -53,24 +53,24 @@
             gevent.spawn_later(transfer.starts_in_s, self.sender_gone, run)
 
     def sender_gone(self, run: Run) -> None:
-        """Settle a request whose former holder never said that it had stopped.
+        """Resume or end a request whose sender never confirmed that it had stopped.
 
-        An idempotent one starts. A non-idempotent one may have been sent to a server
-        in the holder's last moments, so it must not run again.
+        An idempotent request starts here. A non-idempotent one may have been sent to
+        a server just before the sender was killed, so it must not run again.
         """
         if not run.paused or run.record.ended:
             return
         if run.record.request.non_idempotent:
             run.end_unknown()
         else:
-            # The holder may have sent it to a server after its record had left.
+            # The sender may have sent it to a server after it had sent the record.
             run.sent_before = True
             run.resume(in_background=True)
 
     def take_answers(self, sender: str, encoded: list[bytes]) -> list[str]:
-        """Take the answers so far and go on with them; return the ids that do."""
+        """Continue from the answers so far; return the ids of requests that do."""
         if self.serving.stopping:
-            raise IDL.PeerError(kind="stopping", message="this node leaves too")
+            raise IDL.PeerError(kind="stopping", message="this node is stopping too")
         taken = []
         for data in encoded:
             transfer = msgspec.msgpack.decode(data, type=AnswerTransfer)
--- a/packages/endive_node/src/endive_node/telemetry.py
+++ b/packages/endive_node/src/endive_node/telemetry.py
@@ -1,4 +1,4 @@
-"""Metrics through OpenTelemetry."""
+"""Metrics through OpenTelemetry, in the Prometheus exposition format."""
 
 import time
 from collections import Counter
@@ -10,38 +10,37 @@
 from prometheus_client import CollectorRegistry, generate_latest
 
 DROP_REASONS = ("late", "repeated", "reordered", "foreign")
-"""Why a piece of an answer is dropped instead of being shown to a caller."""
+"""Reasons for which a piece of an answer is dropped instead of sent to a caller."""
 
 
 class MonotonicClock:
-    """The process's clock."""
+    """The monotonic clock of the process."""
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return seconds since an arbitrary fixed moment."""
         return time.monotonic()
 
 
 class FastCounter:
-    """A counter for each token of each stream.
+    """A counter that is cheap enough to be incremented for each token.
 
-    OpenTelemetry's own takes as long as decoding the token: 15 % of a stream's
-    processor time. This one adds to a number.
+    OpenTelemetry's own counter takes as long as decoding the token, which is 15 % of
+    a stream's processor time. This one only adds to an integer.
     """
 
     def __init__(self) -> None:
         self.value = 0
 
     def add(self, amount: int) -> None:
-        """Count `amount` more."""
+        """Add `amount` to the counter."""
         self.value += amount
 
 
 class Metrics:
-    """The node's counters and histograms, and the page that shows them.
+    """The node's counters and histograms, which operators scrape at ``/metrics``.
 
-    Operators meet it as ``/metrics`` on the operators' port. One counter exists for
-    each refusal kind, retry reason and drop reason from the start, so that a zero is
-    seen as a zero.
+    The counters of all refusal kinds, retry reasons and drop reasons exist from the
+    start, so that a count of zero is exported as zero instead of being absent.
     """
 
     def __init__(self) -> None:
@@ -71,13 +70,13 @@
         )
 
     def counter(self, name: str, description: str = ""):
-        """Return a new counter that starts at a visible zero."""
+        """Return a new counter, which is exported from the start with the value 0."""
         counter = self.meter.create_counter(name, description=description)
         counter.add(0)
         return counter
 
     def fast_counter(self, name: str) -> "FastCounter":
-        """Return a counter that is read only when the page is asked for."""
+        """Return a counter that OpenTelemetry reads only when metrics are scraped."""
         counter = FastCounter()
         self.meter.create_observable_counter(
             name, [lambda _options: [Observation(counter.value)]]
@@ -85,7 +84,7 @@
         return counter
 
     def gauge(self, name: str, read, description: str = ""):
-        """Register a gauge whose value `read()` gives when the page is asked for."""
+        """Register a gauge; `read()` returns its value when metrics are scraped."""
         return self.meter.create_observable_gauge(
             name, [lambda _options: [Observation(read())]], description=description
         )
@@ -102,9 +101,9 @@
         self.retries[reason].add(1)
 
     def count_drop(self, reason: str) -> None:
-        """Count a piece that was not shown to a caller."""
+        """Count a piece that was not sent to a caller."""
         self.drops[reason].add(1)
 
     def page(self) -> bytes:
-        """Return the scrape page."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/packages/endive_node/src/endive_node/watching.py
+++ b/packages/endive_node/src/endive_node/watching.py
@@ -1,4 +1,4 @@
-"""Watches: the stream of applied changes from a version on."""
+"""Watches: streams of the configuration changes applied after a version."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import asdict
@@ -10,26 +10,27 @@
 from endive_node.configuration import Configuration
 
 HEARTBEAT_S = 2.0
-"""How often a quiet watch says which version it has reached: well inside the 13 s in
-which a change is in force, so that a watcher soon sees that a node hangs."""
+"""Interval at which a watch without changes sends the version reached, seconds. It is
+well below the 13 s within which a change must be in force, so that a client soon
+detects a node that hangs."""
 
 encode_json = msgspec.json.encode
 
 
 class Watch:
-    """One operator's watch; it ends when the operator hangs up.
+    """One operator's watch; it ends when the operator disconnects.
 
     Parameters
     ----------
     is_visible : callable
-        Whether the operator may see an event, by its owner.
+        Whether the operator may see an event.
     version : int
-        The last version that the operator has seen.
+        The last version that the operator has received.
 
     Raises
     ------
     EndiveError
-        ``watch_too_old`` if the changes after `version` are no longer known.
+        ``watch_too_old`` if the changes after `version` are no longer kept.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         configuration.history.since(version)
 
     def events(self) -> Iterator[bytes]:
-        """Yield server-sent events; each one's id is the version to go on from."""
+        """Yield server-sent events, with the version to resume from as their id."""
         while True:
             try:
                 fresh = self.configuration.history.since(self.version)
@@ -62,13 +63,13 @@
 
 
 def event_body(event: ChangeEvent) -> dict:
-    """Return a change as a watcher reads it."""
+    """Return the body of the event for a change."""
     body = asdict(event) | {"type": "deleted" if event.body is None else "applied"}
     del body["size"]
     return body
 
 
 def encode_event(name: str, version: int, data: dict) -> bytes:
-    """Return one server-sent event."""
+    """Encode one server-sent event."""
     head = f"id: {version}\nevent: {name}\ndata: ".encode()
     return head + encode_json(data) + b"\n\n"
--- a/packages/endive_node/tests/node_builders.py
+++ b/packages/endive_node/tests/node_builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of one node's parts, with fakes at the interfaces."""
+"""Builders for tests of a node's parts, with fakes for what is outside the node."""
 
 from endive_core.catalogue import Catalogue
 from endive_core.claims import Claimant, ClaimOutcome, ClaimVerdict
@@ -14,7 +14,7 @@
 
 
 class FakeClock:
-    """A clock that stands still until a test moves it."""
+    """A clock that changes only when a test sets its time."""
 
     def __init__(self):
         self.time = 1000.0
@@ -26,8 +26,8 @@
 class FakeEngines:
     """Backend clients whose engines follow a script, one entry for each attempt.
 
-    An entry is the number of tokens to make before the connection is lost, a
-    BackendError to raise at once, or ``None`` to answer whole.
+    An entry is the number of tokens to generate before the connection is lost, a
+    BackendError to raise at once, or ``None`` for a complete answer.
     """
 
     def __init__(self, *script):
@@ -59,11 +59,13 @@
                 )
             ]
         if entry is not None:
-            raise BackendError("lost", started=True, reason=RetryReason.SERVER_FAILED)
+            raise BackendError(
+                "connection lost", started=True, reason=RetryReason.SERVER_FAILED
+            )
 
 
 class AlwaysWonClaims:
-    """Claims that are always won."""
+    """Claims that are always granted."""
 
     def check_age(self, request):
         pass
@@ -78,8 +80,10 @@
 
 
 def not_started():
-    """Return the error of a connection that was never made."""
-    return BackendError("refused", started=False, reason=RetryReason.CONNECT_FAILED)
+    """Return the error of an attempt whose connection failed."""
+    return BackendError(
+        "connection refused", started=False, reason=RetryReason.CONNECT_FAILED
+    )
 
 
 def catalogue(servers=3):
@@ -96,7 +100,7 @@
 
 
 def serving(engines, *, claims=None, servers=3, **limits):
-    """Return the serving path over fake engines."""
+    """Return the request path of a node with fake engines."""
     shown = catalogue(servers)
     clock, metrics = FakeClock(), Metrics()
     settings = LimitsSection(**limits)
--- a/packages/endive_node/tests/test_configuration.py
+++ b/packages/endive_node/tests/test_configuration.py
@@ -29,7 +29,7 @@
 
 
 class FakeLog:
-    """Streams in memory, with retention and outages."""
+    """A log in memory, with settable retention and outages."""
 
     def __init__(self):
         self.streams = {}
@@ -54,15 +54,18 @@
 
 
 class FakeSource:
-    """Another node, whose state is a fold; `heard` is what a third one had."""
+    """Another node with the state `fold`.
 
-    def __init__(self, fold, heard=-1):
+    `gone_node_offset` is the offset of a third node, which is gone.
+    """
+
+    def __init__(self, fold, gone_node_offset=-1):
         self.fold = fold
-        self.heard = heard
+        self.gone_node_offset = gone_node_offset
         self.asked = 0
 
     def highest_offset(self):
-        return max(self.heard, self.fold.offset)
+        return max(self.gone_node_offset, self.fold.offset)
 
     def reachable_offset(self):
         return self.fold.offset
@@ -100,7 +103,7 @@
 
 
 def test_a_peer_that_is_behind_never_turns_the_state_back():
-    """A node that lags is asked by one that is further on; its older state would undo
+    """A node pulls from a peer that lags. Adopting the peer's older state would undo
     changes that operators were told are in force."""
     configuration = Configuration(written(6), FakeClock())
     configuration.step()
@@ -125,13 +128,16 @@
 
 
 def test_change_whose_only_holder_is_gone_keeps_nobody_from_starting():
-    """In an outage of the log the one node that had read the last change is reclaimed.
-    A new node that waited for that change would not serve until the log is back."""
+    """During an outage of the log, the only node that has read the last change is
+    reclaimed. A new node that waits for that change without a limit would not serve
+    until the log responds again."""
     configuration = Configuration(written(4), FakeClock())
     configuration.log.down = True
-    configuration.source = FakeSource(folded(4), heard=4)
+    configuration.source = FakeSource(folded(4), gone_node_offset=4)
     configuration._start_from_peers()
-    assert not configuration.ready.is_set(), "a member not heard yet may have it"
+    assert not configuration.ready.is_set(), (
+        "a member not discovered yet may have the change"
+    )
     configuration.clock.time += PEER_DISCOVERY_S + 1
     configuration._start_from_peers()
     assert configuration.ready.is_set()
@@ -139,12 +145,12 @@
 
 
 def test_node_that_the_log_leaves_behind_asks_a_member_once():
-    """The log answers others and not this node, which would route by an older
-    configuration. When no member has more, asking again and again would only load
-    them with half a megabyte each time."""
+    """The log responds to other nodes but not to this one, which would route by an
+    older configuration. Once no member has a newer one, further pulls would only load
+    the members with half a megabyte each."""
     configuration = Configuration(written(4), MonotonicClock())
     configuration.step()
-    configuration.source = FakeSource(folded(9), heard=12)
+    configuration.source = FakeSource(folded(9), gone_node_offset=12)
     loop = gevent.spawn(configuration.watch_lag)
     gevent.sleep(MAX_LAG_S + 4 * LAG_CHECK_INTERVAL_S)
     loop.kill()
@@ -152,8 +158,8 @@
 
 
 def test_watch_across_a_gap_is_told_so():
-    """The node took over a state and doesn't know the changes before it one by one. A
-    watch that simply went on would miss them."""
+    """The node adopted a snapshot and does not know the single changes before it. A
+    watch that continued without an error would miss them."""
     configuration = Configuration(written(2), FakeClock())
     configuration.step()
     configuration.adopt(folded(9).snapshot())
@@ -163,8 +169,8 @@
 
 
 def test_older_snapshot_that_arrived_late_is_passed_over():
-    """A snapshot's append took effect long after its writer gave up, so that the last
-    one in the stream is older than the records that the log still keeps."""
+    """A snapshot's append took effect long after its writer timed out. The last one in
+    the stream then ends before the oldest record that the log retains."""
     log = written(20)
     log.append(SNAPSHOT_STREAM, [encode(folded(15).snapshot())])
     log.append(SNAPSHOT_STREAM, [encode(folded(5).snapshot())])
@@ -187,8 +193,9 @@
 
 
 def test_snapshot_is_written_by_another_node_if_the_first_is_gone():
-    """The node whose turn it is hangs. Retention would reach the changes that are in
-    force, and the next new node would find a configuration with holes."""
+    """The node whose turn it is hangs. If no other node wrote, the log's retention
+    would drop changes in force, and a new node would read an incomplete
+    configuration."""
     log = written(12)
     settings = ConfigurationSection(snapshot_every_records=10)
     members, clock = FakeMembers(0, 1, 2), FakeClock()
@@ -212,7 +219,8 @@
 
 
 def test_snapshot_is_due_in_time_without_any_change():
-    """Nobody changes anything for days, and the log drops the last snapshot."""
+    """Without any change for longer than the retention, the log drops the last
+    snapshot."""
     clock, members = FakeClock(), FakeMembers(0)
     configuration = Configuration(written(2), clock)
     configuration.step()
--- a/packages/endive_node/tests/test_gossip.py
+++ b/packages/endive_node/tests/test_gossip.py
@@ -19,7 +19,7 @@
 
 
 def full_fleet():
-    """A fleet that is larger than one datagram, with news, facts and questions."""
+    """Return a fleet whose members, facts and requests exceed one datagram."""
     fleet = Fleet(80)
     fleet.run(10)
     node = next(iter(fleet.nodes.values()))
@@ -47,8 +47,8 @@
 
 
 def test_garbled_datagrams_are_refused():
-    """Anything may arrive on an open port; one bad datagram must not end the loop,
-    which would leave the node deaf and soon removed by all others."""
+    """Any host can send to the port. If one bad datagram ended the receive loop, the
+    node would receive no heartbeats any more and be removed by all others."""
     fleet, node = full_fleet()
     data = encode_digest(node.digest(), fleet.time)
     garbled = [b"", b"x", b"\xff" * 500, data[:200], bytes(300), data[40:]]
@@ -73,8 +73,8 @@
 
 
 def test_endless_questions_get_few_answers():
-    """A broken or forging node asks without end for members; answering each one would
-    use up the processor and the network of the node asked."""
+    """A faulty or forging node requests members without end. A reply to each request
+    would use up the processor and the network of the node asked."""
     gossip = make_gossip(1)
     asker = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     asker.bind(("127.0.0.1", 0))
@@ -117,9 +117,9 @@
 
 
 def test_crash_is_told_at_once_to_a_node_known_by_address_only():
-    """Nodes start together, and one has crashed two servers with a request before it
-    heard of the others. Told only with the next rounds, they would let the same
-    request, sent again by its caller, crash two servers each."""
+    """Nodes start together, and a request crashes two servers at one of them before it
+    has received the others' heartbeats. If the others learnt of it only in the next
+    rounds, the same request, retried by its caller, could crash two servers at each."""
     first, second = make_gossip(1), make_gossip(2)
     first.members.seeds = {second.members.me.gossip_address}
     first.facts.crash("poison", "engine-1@7", 1)
