--- a/packages/endive_node/src/endive_node/configuration.py
+++ b/packages/endive_node/src/endive_node/configuration.py
@@ -104,7 +104,7 @@
         Raises
         ------
         LogUnavailableError
-            If the log does not answer.
+            If the log does not respond.
         """
         if self.fold.offset < 0:
             self._adopt_from_log(first=0)
@@ -117,14 +117,14 @@
         """Read one page of records and apply it."""
         page = self.log.read(CONFIGURATION_STREAM, self.fold.offset + 1, wait_s=wait_s)
         for entry in page.entries:
-            self._fold_entry(entry.offset, entry.body)
+            self._apply_entry(entry.offset, entry.body)
         self.last_read_at = self.clock.now()
         if page.entries:
             self._publish()
         if self.fold.offset + 1 >= page.next:
             self.ready.set()
 
-    def _fold_entry(self, offset: int, body: str) -> None:
+    def _apply_entry(self, offset: int, body: str) -> None:
         try:
             record = decode(body)
         except RecordError as error:
@@ -132,7 +132,7 @@
             self.fold.offset = max(self.fold.offset, offset)
             return
         if isinstance(record, Change):
-            self._fold_change(offset, record, len(body))
+            self._apply_change(offset, record, len(body))
             return
         self.fold.apply(offset, record)
         if isinstance(record, SnapshotTaken):
@@ -144,7 +144,7 @@
             self.snapshot_through = through
             self.snapshot_at = self.clock.now()
 
-    def _fold_change(self, offset: int, change: Change, size: int) -> None:
+    def _apply_change(self, offset: int, change: Change, size: int) -> None:
         before = self.fold.get(change.kind, change.name)
         outcome = self.fold.apply(offset, change)
         # A repeated change id yields its first outcome, whose version is older.
@@ -237,11 +237,11 @@
         )
 
     def _publish(self) -> None:
-        touched = self.catalogue.refresh(self.fold)
+        changed_resources = self.catalogue.refresh(self.fold)
         self.changed.set()
         self.changed.clear()
         for listener in self.listeners:
-            listener(touched)
+            listener(changed_resources)
 
     def submit(self, change: Change) -> Outcome:
         """Append `change` and wait until this node has applied it.
--- a/packages/endive_node/src/endive_node/fact_exchange.py
+++ b/packages/endive_node/src/endive_node/fact_exchange.py
@@ -10,9 +10,9 @@
 class FactExchange:
     """Publishes this node's notices and crashes, and applies those of other nodes.
 
-    Through it, a request that has crashed servers under two nodes is refused by a
-    third one, and a node whose own poll of the cloud's notices fails or is late still
-    learns of them.
+    This way a request that crashed servers after two other nodes sent it is
+    refused by a third node, and a node whose own poll of the cloud's notices fails or
+    is late still learns of them.
     """
 
     def __init__(
@@ -48,6 +48,6 @@
         if fact.kind is FactKind.CRASH:
             self.crashes.add(Crash(fact.subject, fact.origin, now))
         elif fact.kind is FactKind.SERVER_LEAVING:
-            self.notices.add(fact.subject, "", fact.until - now)
+            self.notices.add_notice(fact.subject, "", fact.until - now)
         else:
-            self.notices.add("", fact.subject, fact.until - now)
+            self.notices.add_notice("", fact.subject, fact.until - now)
--- a/packages/endive_node/src/endive_node/gossip.py
+++ b/packages/endive_node/src/endive_node/gossip.py
@@ -190,7 +190,7 @@
         return True
 
     def send(self, digest: Digest, receiver: str) -> None:
-        """Send one datagram; if it is lost, the next rounds send the same news."""
+        """Send one datagram; if it is lost, the next rounds send the same state."""
         data = encode_digest(digest, self.clock.now())
         host, port = receiver.rsplit(":", 1)
         try:
--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -41,9 +41,9 @@
 three seconds, and the next target needs part of them."""
 
 START_MARGIN_S = 0.5
-"""Time after the end of the notice at which a target assumes that the sender is dead,
-seconds. For the same time before that end, requests are stopped and transferred too
-which otherwise run on here: non-idempotent ones and calls to plain services."""
+"""Margin around the end of the notice, seconds. This long after the end, a target
+assumes that the sender is dead. From this long before the end, the sender also stops
+and transfers running non-idempotent requests and calls to plain services."""
 
 ROUND_PAUSE_S = 0.1
 ROUNDS_AFTER_NOTICE_S = 30.0
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -81,7 +81,7 @@
             clock=self.clock,
             claims=self.claims,
         )
-        self._make_reclaim()
+        self._make_handover()
         self._make_listeners()
         self.greenlets: list[gevent.Greenlet] = []
         self.stopped = Event()
@@ -91,7 +91,7 @@
         """Return a node whose ports are bound and which is not started yet."""
         return cls(settings)
 
-    def _make_reclaim(self) -> None:
+    def _make_handover(self) -> None:
         settings, platform = self.settings, self.settings.platform
         self.notices = NoticeTable(self.clock)
         cloud = platform.cloud and HttpCloud(platform.cloud, platform.timeout_s)
--- a/packages/endive_node/src/endive_node/notices.py
+++ b/packages/endive_node/src/endive_node/notices.py
@@ -65,7 +65,7 @@
         self.listeners: list[Callable[[Notice], None]] = []
         self.last_new_at: float | None = None
 
-    def add(self, instance: str, zone: str, seconds_left: float) -> None:
+    def add_notice(self, instance: str, zone: str, seconds_left: float) -> None:
         """Add a notice, unless one for the same subject is already known."""
         notice = Notice(instance, zone, self.clock.now() + seconds_left)
         known = self.by_subject.get(notice.subject)
@@ -118,12 +118,12 @@
 
     def __init__(
         self,
-        notices: NoticeTable,
+        table: NoticeTable,
         cloud: CloudApi | None,
         instances: InstanceList | None,
         poll_s: float,
     ) -> None:
-        self.notices = notices
+        self.table = table
         self.cloud = cloud
         self.instances = instances
         self.poll_s = poll_s
@@ -133,7 +133,7 @@
         while self.cloud is not None:
             try:
                 for notice in self.cloud.notices():
-                    self.notices.add(
+                    self.table.add_notice(
                         notice["instance"] or "",
                         notice["zone"] or "",
                         notice["seconds_left"],
@@ -152,7 +152,7 @@
             try:
                 for entry in self.instances.instances():
                     if entry["state"] == LEAVING:
-                        self.notices.add(entry["id"], "", 0.0)
+                        self.table.add_notice(entry["id"], "", 0.0)
             except PLATFORM_ERRORS as error:
                 log_event("instance_list_unread", error=error)
             gevent.sleep(LIST_POLL_S)
--- a/packages/endive_node/src/endive_node/peers.py
+++ b/packages/endive_node/src/endive_node/peers.py
@@ -74,10 +74,10 @@
     def explain_request(self, request_id: str) -> str:
         """Return the trace of a request, as JSON."""
         try:
-            shown = self.traces.get(request_id).to_dict(self.node_id)
+            trace = self.traces.get(request_id).to_dict(self.node_id)
         except EndiveError as error:
             raise IDL.PeerError(kind=str(error.kind), message=error.message) from None
-        return msgspec.json.encode(shown).decode()
+        return msgspec.json.encode(trace).decode()
 
 
 class PeerConfigurationSource:
@@ -237,7 +237,7 @@
 class PeerConnection:
     """A client of another node that keeps one connection open between calls.
 
-    It is used to relay an answer to a caller page by page.
+    It serves repeated calls, such as relaying an answer to a caller page by page.
 
     Raises
     ------
--- a/packages/endive_node/src/endive_node/reporting.py
+++ b/packages/endive_node/src/endive_node/reporting.py
@@ -32,7 +32,7 @@
         return resource_body(stored) | {"status": self.resource_status(stored)}
 
     def resource_status(self, stored: StoredResource) -> dict:
-        """Return whether the resource is in force on all nodes, and if not, why."""
+        """Return whether the resource is in force, since when and where, or why not."""
         members = self.node.members.live()
         behind = nodes_behind(members, stored.version)
         reasons = findings(self.node.configuration.catalogue, stored.kind, stored.name)
--- a/packages/endive_node/src/endive_node/server_polling.py
+++ b/packages/endive_node/src/endive_node/server_polling.py
@@ -36,8 +36,8 @@
 class ServerPoller:
     """Polls the load and the cache events of all servers.
 
-    Its rate is bounded by the setting `max_report_polls_per_s`: with many servers
-    each one is polled less often, so that the cost for a node stays the same.
+    The rate is bounded by the setting `max_report_polls_per_s`: with many servers each
+    one is polled less often, so that the cost for a node stays the same.
     """
 
     def __init__(
--- a/packages/endive_node/src/endive_node/snapshot_writer.py
+++ b/packages/endive_node/src/endive_node/snapshot_writer.py
@@ -61,8 +61,8 @@
         if configuration.fold.offset < 0:
             return False
         now = configuration.clock.now()
-        behind = configuration.fold.offset - configuration.snapshot_through
-        if behind < self.settings.snapshot_every_records:
+        records_since = configuration.fold.offset - configuration.snapshot_through
+        if records_since < self.settings.snapshot_every_records:
             self.records_due_since = now
         wait_s = self._rank() * RANK_DELAY_S
         return (
--- a/packages/endive_node/src/endive_node/watching.py
+++ b/packages/endive_node/src/endive_node/watching.py
@@ -64,9 +64,9 @@
 
 def event_body(event: ChangeEvent) -> dict:
     """Return the body of the event for a change."""
-    body = asdict(event) | {"type": "deleted" if event.body is None else "applied"}
-    del body["size"]
-    return body
+    fields = asdict(event) | {"type": "deleted" if event.body is None else "applied"}
+    del fields["size"]
+    return fields
 
 
 def encode_event(name: str, version: int, data: dict) -> bytes:
