--- a/packages/endive_node/src/endive_node/gossip.py
+++ b/packages/endive_node/src/endive_node/gossip.py
@@ -26,7 +26,7 @@
 STATES = (MemberState.STARTING, MemberState.LIVE, MemberState.LEAVING)
 MAX_DATAGRAM_BYTES = 65_535
 HEADER_BYTES = 28
-"""Size of the IP and UDP headers, added to the byte counts of every datagram."""
+"""IP and UDP headers, counted with every datagram because the network carries them."""
 
 INSTANCE_LIST_POLL_S = 10.0
 NODE_ROLE = "node"
--- a/packages/endive_node/src/endive_node/interfaces.py
+++ b/packages/endive_node/src/endive_node/interfaces.py
@@ -51,7 +51,7 @@
 
         Raises
         ------
-        LogUncertainError
+        LogOutcomeUnknownError
             If the response was lost: the records may be appended, now or later, or
             not at all.
         LogUnavailableError
@@ -70,7 +70,7 @@
         ------
         LogUnavailableError
             If the log does not respond.
-        LogForgottenError
+        LogOffsetOutOfRangeError
             If `start` is older than the oldest record that the log retains.
         """
         ...
--- a/packages/endive_node/src/endive_node/reporting.py
+++ b/packages/endive_node/src/endive_node/reporting.py
@@ -53,7 +53,7 @@
         accepted_by = origin_in(request_id)
         peer = self._member(accepted_by)
         if accepted_by == own_id or peer is None:
-            return self.node.serving.traces.get(request_id).shown(own_id)
+            return self.node.serving.traces.get(request_id).to_dict(own_id)
         try:
             answer = PeerClient(peer.peer_address).explain_request(request_id)
         except (IDL.PeerError, PeerUnavailableError) as error:
