--- a/packages/endive_node/src/endive_node/fact_exchange.py
+++ b/packages/endive_node/src/endive_node/fact_exchange.py
@@ -1,4 +1,4 @@
-"""Passing notices and crashes between this node's tables and the heartbeats."""
+"""Exchanges reclaim notices and crashes with other nodes, as gossip facts."""
 
 from endive_core.crashes import Crash, CrashTable
 from endive_core.facts import Fact, FactKind
@@ -8,11 +8,11 @@
 
 
 class FactExchange:
-    """Tells all nodes of the notices and crashes that this one noticed.
+    """Publishes this node's notices and crashes, and applies those of other nodes.
 
-    Callers meet it when a request that crashed servers under two nodes is refused by a
-    third. A node whose own look at the cloud's notices fails, or comes late, still
-    learns of them here.
+    This way a request that crashed servers after two other nodes sent it is
+    refused by a third node, and a node whose own poll of the cloud's notices fails or
+    is late still learns of them.
     """
 
     def __init__(
@@ -21,32 +21,33 @@
         self.gossip = gossip
         self.notices = notices
         self.crashes = crashes
-        notices.listeners.append(self.tell_notice)
-        crashes.listeners.append(self.tell_crash)
-        gossip.facts.listeners.append(self.take)
+        notices.listeners.append(self.publish_notice)
+        crashes.listeners.append(self.publish_crash)
+        gossip.facts.listeners.append(self.apply)
 
-    def tell_notice(self, notice: Notice) -> None:
-        """Enter a notice among the facts; tell several members if it is news."""
+    def publish_notice(self, notice: Notice) -> None:
+        """Publish a notice as a fact."""
         if notice.instance:
             fact = Fact(FactKind.SERVER_LEAVING, notice.instance, "", 1, notice.ends_at)
         else:
             fact = Fact(FactKind.ZONE_UNDER_NOTICE, notice.zone, "", 1, notice.ends_at)
-        self._tell(fact)
+        self._publish(fact)
 
-    def tell_crash(self, crash: Crash) -> None:
-        """Enter a crash among the facts; each name of a crash counts once."""
-        self._tell(self.gossip.facts.crash_fact(crash.fingerprint, crash.server, 1))
+    def publish_crash(self, crash: Crash) -> None:
+        """Publish a crash as a fact; each crashed server counts once per request."""
+        self._publish(self.gossip.facts.crash_fact(crash.fingerprint, crash.server, 1))
 
-    def _tell(self, fact: Fact) -> None:
+    def _publish(self, fact: Fact) -> None:
+        """Add `fact`; if it is new, send it to several members at once."""
         if self.gossip.facts.merge(fact):
             self.gossip.announce()
 
-    def take(self, fact: Fact) -> None:
-        """Put up a fact that another node told; a repeat changes nothing."""
+    def apply(self, fact: Fact) -> None:
+        """Add a fact of another node to this node's tables; repeats have no effect."""
         now = self.gossip.clock.now()
         if fact.kind is FactKind.CRASH:
             self.crashes.add(Crash(fact.subject, fact.origin, now))
         elif fact.kind is FactKind.SERVER_LEAVING:
-            self.notices.put(fact.subject, "", fact.until - now)
+            self.notices.add_notice(fact.subject, "", fact.until - now)
         else:
-            self.notices.put("", fact.subject, fact.until - now)
+            self.notices.add_notice("", fact.subject, fact.until - now)
--- a/packages/endive_node/src/endive_node/operators.py
+++ b/packages/endive_node/src/endive_node/operators.py
@@ -22,23 +22,23 @@
 )
 from endive_node.configuration import new_change_id
 from endive_node.logs import log_event
-from endive_node.reporting import Reports, shown
+from endive_node.reporting import Reports, resource_body
 from endive_node.settings import OperatorEntry
 from endive_node.watching import Watch
 
 MAX_BODY_BYTES = 1_000_000
-"""Largest resource: 2,600 servers in one service are about 300 kB."""
+"""Largest request body, bytes. A service with 2,600 servers has about 300 kB."""
 
 
 @dataclass(frozen=True)
 class Operator:
-    """Who calls, and whose resources they may see and change."""
+    """An authenticated operator, and the organisation whose resources it may access."""
 
     name: str
     organisation: str
 
-    def may_touch(self, owner: str) -> bool:
-        """Return whether resources of `owner` are this operator's to see."""
+    def may_access(self, owner: str) -> bool:
+        """Return whether the operator may see and change resources of `owner`."""
         return self.organisation in (ALL_ORGANISATIONS, owner)
 
 
@@ -48,11 +48,11 @@
     Attributes
     ----------
     expected_version : int or None
-        Apply only over this version; -1 for "must not exist".
+        Apply only if this is the current version; -1 if none may exist.
     change_id : str
-        Chosen by the caller; a change sent again with the same id is applied once.
+        Chosen by the caller; a change sent repeatedly with one id is applied once.
     dry_run : bool
-        Check everything and change nothing.
+        Validate the change without applying it.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -63,7 +63,13 @@
 
     @classmethod
     def from_query(cls, query) -> "ChangeOptions":
-        """Return the checked options of a call."""
+        """Return the validated options of a call.
+
+        Raises
+        ------
+        EndiveError
+            ``invalid_field`` if a parameter is unknown or not valid.
+        """
         try:
             return cls.model_validate(dict(query))
         except ValidationError as error:
@@ -75,7 +81,7 @@
 
 
 class OperatorApi:
-    """What operators reach on the node's operators' port.
+    """The HTTP API on the operators' port of the node.
 
     Attributes
     ----------
@@ -91,17 +97,17 @@
         self.app = bottle.Bottle()
         self.app.default_error_handler = http_error_body
         route = self.app.route
-        route("/v1/resources/<kind>", "GET", self.guarded(self.list))
-        route("/v1/resources/<kind>/<name>", "GET", self.guarded(self.get))
-        route("/v1/resources/<kind>/<name>", "PUT", self.guarded(self.put))
-        route("/v1/resources/<kind>/<name>", "DELETE", self.guarded(self.delete))
-        route("/v1/watch", "GET", self.guarded(self.watch))
-        route("/v1/requests/<request_id>", "GET", self.guarded(self.explain))
-        route("/v1/status", "GET", self.guarded(self.status))
-        route("/metrics", "GET", self.guarded(self.scrape))
-
-    def guarded(self, method):
-        """Return `method` behind the token check, its errors made into answers."""
+        route("/v1/resources/<kind>", "GET", self.authenticated(self.list))
+        route("/v1/resources/<kind>/<name>", "GET", self.authenticated(self.get))
+        route("/v1/resources/<kind>/<name>", "PUT", self.authenticated(self.put))
+        route("/v1/resources/<kind>/<name>", "DELETE", self.authenticated(self.delete))
+        route("/v1/watch", "GET", self.authenticated(self.watch))
+        route("/v1/requests/<request_id>", "GET", self.authenticated(self.explain))
+        route("/v1/status", "GET", self.authenticated(self.status))
+        route("/metrics", "GET", self.authenticated(self.scrape))
+
+    def authenticated(self, method):
+        """Return `method` behind a token check, with its errors as responses."""
 
         def call(**path):
             bottle.response.content_type = "application/json"
@@ -117,8 +123,13 @@
     def authenticate(self) -> Operator:
         """Return the operator whose token the call carries.
 
-        Every hash is compared, each in constant time, so that the time taken tells
-        nothing about the tokens.
+        All hashes are compared, each in constant time, so that the response time
+        discloses nothing about the tokens.
+
+        Raises
+        ------
+        EndiveError
+            ``unauthenticated`` if no operator has this token.
         """
         header = bottle.request.get_header("Authorization", "")
         given = hash_key(header.removeprefix(BEARER))
@@ -133,14 +144,14 @@
         return found
 
     def list(self, operator: Operator, kind: str) -> dict:
-        """Return all resources of a kind that the operator may see."""
+        """Return the resources of a kind that the operator may see."""
         fold = self.configuration.fold
         return {
             "version": fold.offset,
             "items": [
                 self.reports.resource(stored)
                 for stored in fold.of_kind(parse_kind(kind))
-                if operator.may_touch(stored.body["owner"])
+                if operator.may_access(stored.body["owner"])
             ],
         }
 
@@ -152,8 +163,8 @@
         """Create or change a resource."""
         options = ChangeOptions.from_query(bottle.request.query)
         resource = self._resource(parse_kind(kind), name)
-        if not operator.may_touch(resource.owner):
-            raise forbidden()
+        if not operator.may_access(resource.owner):
+            raise forbidden_error()
         body = resource.model_dump(mode="json")
         return self._submit(operator, options, resource.kind, name, body)
 
@@ -171,7 +182,7 @@
         wanted = None if kind is None else parse_kind(kind)
 
         def is_visible(event) -> bool:
-            return operator.may_touch(event.owner) and wanted in (None, event.kind)
+            return operator.may_access(event.owner) and wanted in (None, event.kind)
 
         watch = Watch(self.configuration, is_visible, self._watch_version())
         bottle.response.content_type = EVENT_STREAM
@@ -179,7 +190,7 @@
         return watch.events()
 
     def status(self, operator: Operator) -> dict:
-        """Return this node's state; an organisation's operator sees no others'."""
+        """Return this node's state, with only the servers the operator may see."""
         status = self.reports.status()
         if operator.organisation != ALL_ORGANISATIONS:
             visible = {
@@ -187,21 +198,21 @@
                 for stored in self.configuration.fold.of_kind(
                     ResourceKind.BACKEND_SERVER_SERVICE
                 )
-                if operator.may_touch(stored.body["owner"])
+                if operator.may_access(stored.body["owner"])
             }
             servers = status["servers"]
             status["servers"] = [s for s in servers if s["service"] in visible]
         return status
 
     def explain(self, operator: Operator, request_id: str) -> dict:
-        """Return what became of a request, wherever it was accepted."""
-        trail = self.reports.explanation(request_id)
-        if not operator.may_touch(trail["organisation"]):
-            raise EndiveError(ErrorKind.UNKNOWN_REQUEST, "no notes of this request")
-        return trail
+        """Return the trace of a request, whichever node accepted it."""
+        trace = self.reports.explanation(request_id)
+        if not operator.may_access(trace["organisation"]):
+            raise EndiveError(ErrorKind.UNKNOWN_REQUEST, "no trace of this request")
+        return trace
 
     def scrape(self, _operator: Operator) -> bytes:
-        """Return the metrics page; it holds no names, so any operator may read it."""
+        """Return the metrics page, which any operator may read as it holds no names."""
         bottle.response.content_type = "text/plain; version=0.0.4"
         return self.metrics.page()
 
@@ -225,7 +236,7 @@
             if body.setdefault(key, value) != value:
                 raise EndiveError(
                     ErrorKind.INVALID_RESOURCE,
-                    f"the {key} in the body is not the one in the path",
+                    f"the {key} in the body differs from the {key} in the path",
                 )
         return Resource.from_body(body)
 
@@ -248,7 +259,7 @@
             body=body,
         )
         if options.dry_run:
-            return self._try_out(change)
+            return self._dry_run(change)
         outcome = self.configuration.submit(change)
         log_event(
             "resource_changed",
@@ -259,24 +270,27 @@
         )
         return {"version": outcome.version, "change_id": change.change_id}
 
-    def _try_out(self, change: Change) -> dict:
-        """Answer as if `change` were made now; another may still come before it."""
+    def _dry_run(self, change: Change) -> dict:
+        """Validate `change` without applying it.
+
+        Another change may still be applied before it is submitted.
+        """
         stored = self.configuration.fold.get(change.kind, change.name)
         self.configuration.check(change)
         return {
             "dry_run": True,
-            "before": shown(stored) if stored else None,
+            "before": resource_body(stored) if stored else None,
             "after": change.body,
         }
 
     def _visible(self, operator: Operator, kind: str, name: str) -> StoredResource:
         stored = self.configuration.fold.get(kind, name)
-        if stored is None or not operator.may_touch(stored.body["owner"]):
+        if stored is None or not operator.may_access(stored.body["owner"]):
             raise EndiveError(ErrorKind.NOT_FOUND, f"there is no {kind} {name!r}")
         return stored
 
 
-def forbidden() -> EndiveError:
+def forbidden_error() -> EndiveError:
     """Return the error for a resource of another organisation."""
     return EndiveError(
         ErrorKind.FORBIDDEN, "the resource belongs to another organisation"
@@ -284,7 +298,13 @@
 
 
 def parse_kind(kind: str) -> ResourceKind:
-    """Return the resource kind that a path names."""
+    """Return the resource kind named in a path.
+
+    Raises
+    ------
+    EndiveError
+        ``not_found`` if there is no such kind.
+    """
     try:
         return ResourceKind(kind)
     except ValueError:
