--- a/packages/endive_node/src/endive_node/handover.py
+++ b/packages/endive_node/src/endive_node/handover.py
@@ -212,25 +212,27 @@
 
     def _target(self, request_id: str):
         handover = self.handover
-        gone = {handover.section.id} | handover.notices.instances()
+        excluded = {handover.section.id} | handover.notices.instances()
         order = handover_targets(
             route_in(request_id),
             handover.members.live(),
             zones_under_notice=handover.notices.zones(),
-            without=frozenset(gone),
+            without=frozenset(excluded),
         )
         # A target that failed once is still better than none.
-        fresh = [member for member in order if member.id not in self.failed_targets]
-        return (fresh or order or [None])[0]
+        not_failed = [
+            member for member in order if member.id not in self.failed_targets
+        ]
+        return (not_failed or order or [None])[0]
 
     def _transfer(self, run: Run) -> RequestTransfer:
         now = self.handover.serving.clock.now()
         record, request = run.record, run.record.request
-        left = None if request.deadline is None else request.deadline - now
+        remaining_s = None if request.deadline is None else request.deadline - now
         return transfer_of(
             request,
             age_s=now - record.accepted_at,
-            deadline_in_s=left,
+            deadline_in_s=remaining_s,
             attempt=record.attempt,
             dispatched=run.dispatched,
             stopped=False,
--- a/packages/endive_node/src/endive_node/operators.py
+++ b/packages/endive_node/src/endive_node/operators.py
@@ -132,10 +132,10 @@
             ``unauthenticated`` if no operator has this token.
         """
         header = bottle.request.get_header("Authorization", "")
-        given = hash_key(header.removeprefix(BEARER))
+        presented_hash = hash_key(header.removeprefix(BEARER))
         found = None
         for entry in self.operators:
-            if hmac.compare_digest(entry.token_hash, given):
+            if hmac.compare_digest(entry.token_hash, presented_hash):
                 found = Operator(entry.name, entry.organisation)
         if found is None:
             raise EndiveError(
--- a/packages/endive_node/src/endive_node/takeover.py
+++ b/packages/endive_node/src/endive_node/takeover.py
@@ -38,8 +38,10 @@
         if known is not None and not known.moved:
             return
         now = clock.now()
-        left = transfer.deadline_in_s
-        request = request_of(transfer, None if left is None else now + left)
+        remaining_s = transfer.deadline_in_s
+        request = request_of(
+            transfer, None if remaining_s is None else now + remaining_s
+        )
         record = RequestRecord(
             request,
             now - transfer.age_s,
--- a/packages/endive_node/tests/node_builders.py
+++ b/packages/endive_node/tests/node_builders.py
@@ -101,16 +101,16 @@
 
 def serving(engines, *, claims=None, servers=3, **limits):
     """Return the request path of a node with fake engines."""
-    shown = catalogue(servers)
+    test_catalogue = catalogue(servers)
     clock, metrics = FakeClock(), Metrics()
     settings = LimitsSection(**limits)
     dispatcher = Dispatcher(
-        shown, clock, metrics, seed=1, max_attempts=settings.max_attempts
+        test_catalogue, clock, metrics, seed=1, max_attempts=settings.max_attempts
     )
     dispatcher.refresh()
     return Serving(
         node_id="node-1",
-        catalogue=shown,
+        catalogue=test_catalogue,
         dispatcher=dispatcher,
         clients=engines,
         limits=settings,
--- a/packages/endive_node/tests/test_configuration.py
+++ b/packages/endive_node/tests/test_configuration.py
@@ -39,9 +39,9 @@
     def append(self, stream, records):
         if self.down:
             raise LogUnavailableError("down")
-        kept = self.streams.setdefault(stream, [])
-        kept.extend(records)
-        return len(kept) - len(records)
+        stored = self.streams.setdefault(stream, [])
+        stored.extend(records)
+        return len(stored) - len(records)
 
     def read(self, stream, start, *, wait_s=0.0, limit=1000):
         if self.down:
@@ -62,7 +62,7 @@
     def __init__(self, fold, gone_node_offset=-1):
         self.fold = fold
         self.gone_node_offset = gone_node_offset
-        self.asked = 0
+        self.pulls = 0
 
     def highest_offset(self):
         return max(self.gone_node_offset, self.fold.offset)
@@ -71,7 +71,7 @@
         return self.fold.offset
 
     def pull(self):
-        self.asked += 1
+        self.pulls += 1
         return self.fold.snapshot()
 
 
@@ -154,7 +154,7 @@
     loop = gevent.spawn(configuration.watch_lag)
     gevent.sleep(MAX_LAG_S + 4 * LAG_CHECK_INTERVAL_S)
     loop.kill()
-    assert (configuration.fold.offset, configuration.source.asked) == (8, 1)
+    assert (configuration.fold.offset, configuration.source.pulls) == (8, 1)
 
 
 def test_watch_across_a_gap_is_told_so():
