--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -1,13 +1,14 @@
-"""Which server a request gets: a scheduler a service, and what the servers answered."""
+"""Admits requests and assigns their attempts to servers, by a scheduler per service."""
 
 import random
 import time
 from collections import Counter
 from collections.abc import Callable
 
-from endive_core.backlogs import Backlogs, told_tokens
+from endive_core.backlogs import Backlogs, largest_backlogs
 from endive_core.calls import Call, Retry, Ticket
 from endive_core.crashes import CrashTable
+from endive_core.ejection import ClusterEjection
 from endive_core.exceptions import EndiveError, ErrorKind, RetryReason
 from endive_core.messages import ServerView
 from endive_core.policy import Policy
@@ -15,21 +16,21 @@
 from endive_core.routing import RoutingTable, Service
 from endive_core.scheduler import Scheduler
 from endive_core.service_types import ServiceType
-from endive_core.suspicions import Suspicions
 from endive_node.logs import log_event
 from endive_node.waiters import Waiters, crash_name, refusal_error
 
 from endive_gateway.interfaces import ServerEntry
 from endive_gateway.servers import ServerRegistry
 
-INTERLEAVED = 1.46
-"""Time by which a prompt's token delays its first token, as a multiple of the server's
-own time for it: the server takes turns with other requests' tokens. Measured 25.8 by
-17.7, 13.3 by 9.1 and 15.8 by 10.9 microseconds on three kinds of engines."""
+INTERLEAVING_FACTOR = 1.46
+"""Ratio of the time that one prompt token adds to the time to the first token, to the
+engine's own time for that token. It exceeds 1 because the engine interleaves the prompt
+with other requests' tokens. On three kinds of engines the times are 25.8 and 17.7, 13.3
+and 9.1, and 15.8 and 10.9 microseconds."""
 
-FAILURES_PAUSE = 2
-"""Failures in a row after which a server gets no work for a while. A single lost
-answer says little of the server; the second in a row is likely a crash."""
+FAILURES_BEFORE_PAUSE = 2
+"""Consecutive failures after which a server is paused. A single lost response is weak
+evidence against a server; a second consecutive one is likely a crash."""
 
 GATEWAY_POLICY = Policy(
     no_server_wait_s=0.4,
@@ -42,19 +43,29 @@
     retry_burst=1e9,
     crash_memory_s=600.0,
 )
-"""The product's policy for callers that wait for a few seconds only: what can't be
-sent within less than a second is refused. Retries are bounded by the fleet's budget.
+"""The policy for callers that wait a few seconds at most: a request that can't be sent
+to a server within less than a second is refused. `retry_burst` does not bound retries
+here; the retry budgets shared by all nodes do.
 
-The servers that a session hashes to are taken to hold all that its requests share. With
-half of it believed, as the product has it for prompts cut into equal blocks, the part
-that is the session's own counted for nothing, and nodes that knew nothing of each other
-sent it to whichever server looked idlest: 54 in 100 to one server instead of all of
-them. Shared parts computed again fell by 0.3, 0.015 of a day's worth (standard error
-0.005, 25 paired plays)."""
+With `affinity_belief` at 1, the servers that a session hashes to are assumed to hold
+all prompt parts that the session's requests share. The default of 0.5 suits prompts cut
+into equal blocks. Here it gave the session's own part no weight, and nodes that don't
+coordinate sent each request to the server that looked least loaded: 54 in 100 requests
+of a session reached the same server, instead of all. The value 1 reduces the
+recomputation of shared parts by 0.3, which is 0.015 of the value of all requests
+(standard error 0.005 over 25 paired simulations)."""
 
 
 class Placer(Waiters):
-    """Admits each request and gives each of its attempts a server."""
+    """Admits requests and assigns a server to each of their attempts.
+
+    Attributes
+    ----------
+    consecutive_failures : Counter
+        By server id, the responses lost since the last complete one.
+    views : dict
+        By id, the servers that may get requests, as the schedulers see them.
+    """
 
     def __init__(
         self,
@@ -72,15 +83,15 @@
         self.nodes = 1
         self.services: dict[str, Service] = {}
         self.views: dict[str, ServerView] = {}
-        self.in_a_row: Counter[str] = Counter()
-        self.suspicions = Suspicions()
+        self.consecutive_failures: Counter[str] = Counter()
+        self.ejection = ClusterEjection()
         self.backlogs = Backlogs()
         self.is_listening = is_listening
         self.wall_time = time.time
         registry.listeners.append(self.refresh)
 
     def configure(self, table: RoutingTable) -> None:
-        """Take over the services in force."""
+        """Apply the services of a configuration."""
         self.services = dict(table.services)
         for gone in self.schedulers.keys() - self.services.keys():
             scheduler = self.schedulers.pop(gone)
@@ -89,26 +100,26 @@
         self.refresh()
 
     def set_nodes(self, nodes: int) -> None:
-        """Take over the number of live nodes, this one included."""
+        """Set the number of live nodes, this one included."""
         if nodes != self.nodes:
             self.nodes = nodes
             for scheduler in self.schedulers.values():
                 scheduler.set_nodes(nodes)
 
     def refresh(self) -> None:
-        """Take over the servers that may get requests."""
+        """Update the schedulers with the servers that may get requests."""
         for name, service in self.services.items():
             scheduler = self.schedulers.get(name)
             if scheduler is None:
                 scheduler = self.schedulers[name] = Scheduler.from_policy(
                     self.policy,
                     self.random,
-                    service_type=_type(service),
+                    service_type=_service_type(service),
                     crashes=self.crashes,
                     prefill=PrefillRate() if service.engine else None,
                 )
                 scheduler.set_nodes(self.nodes)
-                scheduler.outliers.suspicions = self.suspicions
+                scheduler.outliers.ejection = self.ejection
                 if service.engine:
                     scheduler.placement.backlogs = self.backlogs
             usable = [s.entry for s in self.registry.of_service(name) if s.usable]
@@ -116,10 +127,10 @@
             views = [self._view(entry, service, rate) for entry in usable]
             scheduler.set_servers(views)
             self.pump(scheduler)
-        taking = {s.entry.id for s in self.registry.servers.values() if s.usable}
-        for gone in self.views.keys() - taking:
+        usable_ids = {s.entry.id for s in self.registry.servers.values() if s.usable}
+        for gone in self.views.keys() - usable_ids:
             del self.views[gone]
-            self.in_a_row.pop(gone, None)
+            self.consecutive_failures.pop(gone, None)
 
     def _view(self, entry: ServerEntry, service: Service, rate: float) -> ServerView:
         view = self.views.get(entry.id)
@@ -133,32 +144,35 @@
         view.reclaimable = entry.reclaimable
         return view
 
-    def held_parts(self) -> dict[str, float]:
-        """Return by service how many servers' slots this node's requests hold."""
+    def occupied_servers(self) -> dict[str, float]:
+        """Return by service how many servers' slots this node's requests fill."""
         parts = {}
         for name, scheduler in self.schedulers.items():
             servers = scheduler.servers
             slots = servers.slots_total / max(1, len(servers.servers))
-            parts[name] = servers.own_total / slots if slots else 0.0
+            parts[name] = servers.own_in_flight / slots if slots else 0.0
         return parts
 
-    def tell_backlogs(self) -> dict[str, float]:
-        """Return the prompt tokens by server that this node waits for."""
+    def own_backlogs(self) -> dict[str, float]:
+        """Return by server the prompt tokens whose first tokens this node awaits.
+
+        Only the entries that are worth sending to other nodes are included.
+        """
         tokens = {}
         for scheduler in self.schedulers.values():
             if scheduler.prefill is not None:
                 for server in scheduler.servers.servers.values():
                     tokens[server.id] = server.starting_tokens
-        return told_tokens(tokens)
+        return largest_backlogs(tokens)
 
-    def server_s(self, service: str, tokens: float) -> float:
-        """Return a server's time for `tokens` of a prompt, seconds."""
+    def prefill_s(self, service: str, tokens: float) -> float:
+        """Return a server's own time to prefill `tokens` prompt tokens, seconds."""
         scheduler = self.schedulers.get(service)
         if scheduler is None or scheduler.prefill is None:
             return 0.0
-        return tokens * scheduler.prefill.token_s / INTERLEAVED
+        return tokens * scheduler.prefill.seconds_per_token / INTERLEAVING_FACTOR
 
-    # One request's way
+    # Requests
 
     def admit(self, service: str, call: Call) -> Ticket:
         """Queue a request for a server of `service`; raises EndiveError."""
@@ -168,7 +182,7 @@
         return self.enter(scheduler.offer(call, self.now()), scheduler)
 
     def report(self, server_id: str, running: int, waiting: int) -> None:
-        """Take over the load that a server's answer told."""
+        """Record the load that a server reported with a response."""
         view = self.views.get(server_id)
         scheduler = self.schedulers.get(view.service) if view else None
         if scheduler is not None:
@@ -176,25 +190,25 @@
             self.pump(scheduler)
 
     def finished(self, ticket: Ticket, tokens: int) -> None:
-        """Note a whole answer."""
-        self.in_a_row.pop(ticket.server, None)
+        """Record a complete response."""
+        self.consecutive_failures.pop(ticket.server, None)
         super().finished(ticket, tokens)
 
     def failed(
         self, ticket: Ticket, reason: RetryReason, *, started: bool, max_attempts: int
     ) -> None:
-        """Queue a ticket again after a failed attempt.
+        """Queue a ticket for a retry after a failed attempt.
 
         Raises
         ------
         EndiveError
-            If there must be no further attempt.
+            If no retry is allowed.
         """
         scheduler = self.owners[ticket]
         verdict = scheduler.failed(
             ticket,
             self.now(),
-            self._weighed(ticket, reason, started=started),
+            self._effective_reason(ticket, reason, started=started),
             started=started,
             max_attempts=max_attempts,
         )
@@ -203,31 +217,36 @@
             raise refusal_error(verdict)
         self.queue_again(ticket, verdict.delay_s)
 
-    def gave_up(self, ticket: Ticket, reason: RetryReason, *, started: bool) -> None:
-        """Count a failed attempt after which there is no further one."""
+    def count_final_failure(
+        self, ticket: Ticket, reason: RetryReason, *, started: bool
+    ) -> None:
+        """Record a failed attempt that is not retried."""
         scheduler = self.owners[ticket]
-        reason = self._weighed(ticket, reason, started=started)
-        scheduler.blame(ticket, self.now(), reason, started=started)
+        reason = self._effective_reason(ticket, reason, started=started)
+        scheduler.count_failure(ticket, self.now(), reason, started=started)
 
-    def _weighed(
+    def _effective_reason(
         self, ticket: Ticket, reason: RetryReason, *, started: bool
     ) -> RetryReason:
-        """Return the reason that counts: one lost answer says little of a server."""
+        """Record a failure; return the reason with which the scheduler counts it.
+
+        A first lost response is weak evidence against a server and counts as a slow
+        response only.
+        """
         if started and reason in (RetryReason.SERVER_FAILED, RetryReason.SERVER_SLOW):
-            self.suspicions.failed(ticket.server, self.now())
+            self.ejection.failed(ticket.server, self.now())
         if reason is not RetryReason.SERVER_FAILED:
             return reason
-        self.in_a_row[ticket.server] += 1
-        if self.in_a_row[ticket.server] < FAILURES_PAUSE:
+        self.consecutive_failures[ticket.server] += 1
+        if self.consecutive_failures[ticket.server] < FAILURES_BEFORE_PAUSE:
             return RetryReason.SERVER_SLOW
         return reason
 
-    def note_break(self, ticket: Ticket, reason: RetryReason) -> None:
-        """Count a crash against a request that a server broke off, if it was one.
+    def count_crash(self, ticket: Ticket, reason: RetryReason) -> None:
+        """Record a crash against a request if its server no longer listens.
 
-        A connection may break for many reasons; only a server that no longer listens
-        crashed. It counts also where the request is not sent again by this node: its
-        caller will.
+        A connection may break for many other reasons. A crash counts also if this node
+        does not retry the request, since its caller may.
         """
         view = self.views.get(ticket.server)
         if reason is not RetryReason.SERVER_FAILED or view is None:
@@ -236,8 +255,8 @@
             return
         log_event("server_crashed", server=view.id, request=ticket.call.request_id)
         name = crash_name(view.id, self.wall_time())
-        self.owners[ticket].failures.suspect(ticket, name, self.now())
+        self.owners[ticket].failures.attribute_crash(ticket, name, self.now())
 
 
-def _type(service: Service) -> ServiceType:
+def _service_type(service: Service) -> ServiceType:
     return ServiceType.ENGINE if service.engine else ServiceType.PLAIN
--- a/packages/endive_gateway/src/endive_gateway/servers.py
+++ b/packages/endive_gateway/src/endive_gateway/servers.py
@@ -1,4 +1,4 @@
-"""Which backend servers there are: the store's entries, corrected by own evidence."""
+"""Registry of backend servers: the store's entries, corrected by observed responses."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,27 +7,28 @@
 
 from endive_gateway.interfaces import ServerEntry, ServerState
 
-RETURN_GRACE_S = 1.0
-"""Time for which a server whose entry lapsed while the store was away is still used,
-seconds. Such entries are back within two seconds of its return. But the server may
-really be leaving, and may get no request two seconds after its entry went: that may
-have been one read, 0.7 s, before this node saw it, and 0.3 s are left for the way."""
+LAPSE_GRACE_S = 1.0
+"""Time for which a server whose entry lapsed during an outage of the store is still
+used, seconds. A running server writes its entry again within two seconds of the end of
+the outage. But the server may really be leaving, and must get no request two seconds
+after its entry was deleted: up to 0.7 s of these pass before this node reads that, and
+0.3 s are left for the network."""
 
 
 @dataclass(slots=True)
 class KnownServer:
-    """One server, as this node believes it to be.
+    """What this node knows of one server.
 
     Attributes
     ----------
-    gone_at : float or None
-        When it is to be given up, if its entry lapsed during an outage.
+    drop_at : float or None
+        When it is to be dropped, if its entry lapsed during an outage of the store.
     contradicted : bool
         Whether another server answered at its address.
     """
 
     entry: ServerEntry
-    gone_at: float | None = None
+    drop_at: float | None = None
     contradicted: bool = False
 
     @property
@@ -37,21 +38,23 @@
 
 
 class ServerRegistry:
-    """All servers by id, and who wants to hear of changes.
+    """All known servers by id.
 
     Attributes
     ----------
     listeners : list of callable
         Called without arguments after a change.
+    is_loaded : bool
+        Whether the servers have been read from the store at least once.
     """
 
     def __init__(self) -> None:
         self.servers: dict[str, KnownServer] = {}
         self.listeners: list[Callable[[], None]] = []
-        self.known_once = False
+        self.is_loaded = False
 
     def get(self, server_id: str) -> KnownServer | None:
-        """Return what is known of a server."""
+        """Return the server with this id, or ``None`` if it is unknown."""
         return self.servers.get(server_id)
 
     def of_service(self, service: str) -> list[KnownServer]:
@@ -59,24 +62,25 @@
         return [s for s in self.servers.values() if s.entry.service == service]
 
     def put(self, entry: ServerEntry) -> bool:
-        """Take over an entry; return whether anything but its number changed.
+        """Store an entry; return whether anything but its sequence number changed.
 
-        An entry that is older than the one known came late, and says nothing new.
+        An entry that is older than the known one arrived late. It ends a grace period
+        and is ignored apart from that.
         """
         known = self.servers.get(entry.id)
         if known is not None:
-            known.gone_at = None
-            age = (entry.incarnation, entry.sequence)
-            if age < (known.entry.incarnation, known.entry.sequence):
+            known.drop_at = None
+            order = (entry.incarnation, entry.sequence)
+            if order < (known.entry.incarnation, known.entry.sequence):
                 return False
         before = known.entry if known else None
         if known is None:
             known = self.servers[entry.id] = KnownServer(entry)
-        elif _place(before) != _place(entry):
+        elif _process_key(before) != _process_key(entry):
             known.contradicted = False
         known.entry = entry
-        changed = before is None or _meaning(before) != _meaning(entry)
-        if changed:
+        content_changed = before is None or _content(before) != _content(entry)
+        if content_changed:
             log_event(
                 "server_entry",
                 server=entry.id,
@@ -87,23 +91,24 @@
                 reclaimable=entry.reclaimable,
                 leaves_in_s=entry.leaves_in_s,
             )
-        return changed
+        return content_changed
 
     def drop(self, server_id: str, now: float, *, after_outage: bool) -> bool:
-        """Give up a server whose entry is gone; return whether anything changed.
+        """Drop a server whose entry was deleted; return whether anything changed.
 
         Parameters
         ----------
         after_outage : bool
-            Whether the entry may have lapsed only because the store was away.
+            Whether the entry may have lapsed only because of an outage of the store.
+            A ready server then stays in use for the grace period.
         """
         known = self.servers.get(server_id)
         if known is None:
             return False
         if after_outage and known.entry.state is ServerState.READY:
-            if known.gone_at is None:
-                known.gone_at = now + RETURN_GRACE_S
-                log_event("server_lapsed", server=server_id, grace_s=RETURN_GRACE_S)
+            if known.drop_at is None:
+                known.drop_at = now + LAPSE_GRACE_S
+                log_event("server_lapsed", server=server_id, grace_s=LAPSE_GRACE_S)
             return False
         del self.servers[server_id]
         log_event("server_gone", server=server_id)
@@ -111,40 +116,43 @@
 
     @property
     def has_lapsed(self) -> bool:
-        """Whether any server is in its grace."""
-        return any(known.gone_at is not None for known in self.servers.values())
+        """Whether any server is in its grace period."""
+        return any(known.drop_at is not None for known in self.servers.values())
 
     def sweep(self, now: float) -> bool:
-        """Give up the servers whose grace is over; return whether any was."""
+        """Drop servers whose grace period is over; return whether there were any."""
         over = [
             server_id
             for server_id, known in self.servers.items()
-            if known.gone_at is not None and now >= known.gone_at
+            if known.drop_at is not None and now >= known.drop_at
         ]
         for server_id in over:
             del self.servers[server_id]
             log_event("server_gone", server=server_id, after="grace")
         return bool(over)
 
-    def contradict(self, server_id: str) -> None:
-        """Use a server no more until it registers anew: another has its address."""
+    def mark_misidentified(self, server_id: str) -> None:
+        """Stop using a server until it registers with another address or incarnation.
+
+        Called when another server answered at its address.
+        """
         known = self.servers.get(server_id)
         if known is not None and not known.contradicted:
             known.contradicted = True
             log_event("server_contradicted", server=server_id)
-            self.changed()
+            self.notify_listeners()
 
-    def changed(self) -> None:
-        """Tell the listeners."""
+    def notify_listeners(self) -> None:
+        """Call the listeners."""
         for listener in self.listeners:
             listener()
 
 
-def _place(entry: ServerEntry) -> tuple:
+def _process_key(entry: ServerEntry) -> tuple:
     return (entry.address, entry.incarnation)
 
 
-def _meaning(entry: ServerEntry) -> tuple:
+def _content(entry: ServerEntry) -> tuple:
     return (
         entry.service,
         entry.address,
--- a/packages/endive_gateway/src/endive_gateway/spending.py
+++ b/packages/endive_gateway/src/endive_gateway/spending.py
@@ -1,8 +1,10 @@
-"""What an organisation spends, told at once to the node that adds it up.
+"""Immediate exchange of organisations' spending between gateways.
 
-It goes by UDP at a port of its own, beside the tellings: a request must not wait for
-them, nor they for it. :mod:`endive_core.counting` decides who adds up and when the
-others are told; what is lost here, the tellings make good for.
+Each node reports what it spends of a limit at once to the organisation's coordinator,
+one of the nodes. :mod:`endive_core.limit_coordination` decides which node that is and
+when it informs the others. The messages use a UDP port of their own, so that they don't
+wait for the state messages, nor those for them. The totals in the state messages make
+up for lost reports.
 """
 
 import time
@@ -11,195 +13,237 @@
 
 import gevent
 import msgspec
-from endive_core.counting import (
-    ASK_AGAIN_S,
-    ASK_S,
-    ASKING_NODES,
-    MOST_ASKED,
-    UNASKED_S,
-    SpendingCount,
-    counting_node,
-    may_spend_unasked,
+from endive_core.limit_coordination import (
+    COORDINATOR_BACKOFF_S,
+    GRANT_RETRY_AFTER_S,
+    GRANT_TIMEOUT_S,
+    MAX_GRANT_ATTEMPTS,
+    MAX_NODES_WITHOUT_GRANTS,
+    UnsentSpending,
+    coordinator_for,
+    may_spend_without_grant,
 )
-from endive_core.routing import OrganisationTerms
-from endive_core.sharing import Spender
+from endive_core.routing import OrganisationLimits
+from endive_core.shared_limits import SpendingOrigin
 from endive_node.logs import log_event
 from gevent.event import AsyncResult
 
 from endive_gateway.context import Context
 from endive_gateway.datagrams import DatagramPort
 
-MOST_ENTRIES = 20
-"""Nodes' spending in one datagram, so that it stays within one frame of 1,500 bytes."""
+MAX_ENTRIES = 20
+"""Most entries in one datagram, so that it fits one Ethernet frame of 1,500 bytes."""
 
 
-class Spending(msgspec.Struct, array_like=True):
+class NodeSpending(msgspec.Struct, array_like=True):
     """What one node has spent of one organisation's limit since it started.
 
     Attributes
     ----------
     address : str
-        The node that spent it.
-    tellings : int
-        How often that node had told all of its spending by then.
+        IP address of the node that spent it.
+    incarnation : int
+        Differs with each start of that node.
+    messages_sent : int
+        Number of state messages that the node had sent by then.
     age_s : float
         Seconds since that node started.
+    units : float
+        Units spent since then.
     """
 
     address: str
     incarnation: int
-    tellings: int
+    messages_sent: int
     age_s: float
     organisation: str
     units: float
 
     @property
-    def spender(self) -> Spender:
-        """The node as the limits know it."""
-        return Spender(self.address, self.incarnation, self.tellings, self.age_s)
+    def origin(self) -> SpendingOrigin:
+        """The node in the form that the shared limits use."""
+        return SpendingOrigin(
+            self.address, self.incarnation, self.messages_sent, self.age_s
+        )
 
 
-class Notes(msgspec.Struct, array_like=True, tag="notes"):
-    """What some nodes have spent."""
+class SpendingReport(msgspec.Struct, array_like=True, tag="notes"):
+    """Spending of one or more nodes."""
 
-    entries: list[Spending]
+    entries: list[NodeSpending]
 
 
-class Ask(msgspec.Struct, array_like=True, tag="ask"):
-    """A node's request to spend; its total holds what it asks for.
+class GrantRequest(msgspec.Struct, array_like=True, tag="ask"):
+    """A node's request to the coordinator for a grant to spend.
 
     Attributes
     ----------
     number : int
-        Names the request in its answer.
+        Identifies the request in the reply.
+    total : NodeSpending
+        The node's spending, including what it requests.
     """
 
     number: int
-    total: Spending
+    total: NodeSpending
+
 
+class GrantReply(msgspec.Struct, array_like=True, tag="grant"):
+    """Reply to a request for a grant.
 
-class Grant(msgspec.Struct, array_like=True, tag="grant"):
-    """The answer to one request to spend; 0 seconds to wait let it."""
+    Attributes
+    ----------
+    wait_s : float
+        0 if the node may spend, otherwise the seconds to wait.
+    """
 
     number: int
     wait_s: float
 
 
-DECODER = msgspec.msgpack.Decoder(Notes | Ask | Grant)
+DECODER = msgspec.msgpack.Decoder(SpendingReport | GrantRequest | GrantReply)
 
 
-class SpendingNotes:
-    """Single requests' spending: noted to others, asked for, and passed on.
+class SpendingExchange:
+    """Reports spending, requests grants, and is the coordinator of some organisations.
 
     Parameters
     ----------
-    others : callable
-        Returns the addresses of the other nodes that are believed to be there.
-    tellings : callable
-        Returns how often this node has told all of its spending.
+    peer_addresses : callable
+        Returns the addresses of the other nodes that are presumed to be live.
+    messages_sent : callable
+        Returns the number of state messages that this node has sent.
+
+    Attributes
+    ----------
+    unsent_spending : SpendingCount
+        As coordinator, the spending of which the other nodes have not been informed.
+    coordinator_cache : dict
+        By organisation, the nodes last considered and the coordinator among them.
+    requests_sent : int
+        Number of grants that this node has requested.
+    requested_units : Counter
+        By organisation, units for which a reply is awaited.
+    pending_replies : dict
+        Awaited replies by request number.
+    skipped_until : dict of str to float
+        By address, until when a node that didn't reply is not asked.
     """
 
     def __init__(
         self,
         context: Context,
-        others: Callable[[], list[str]],
-        tellings: Callable[[], int],
+        peer_addresses: Callable[[], list[str]],
+        messages_sent: Callable[[], int],
     ) -> None:
         self.context = context
-        self.others = others
-        self.tellings = tellings
-        self.address = context.settings.place.address
-        self.count = SpendingCount()
-        self.counting: dict[str, tuple[list[str], str]] = {}
-        self.asked = 0
-        self.asked_units: Counter[str] = Counter()
-        self.answers: dict[int, AsyncResult] = {}
-        self.unasked_until: dict[str, float] = {}
-        self.datagrams = DatagramPort("spending", DECODER, self.take_message)
+        self.peer_addresses = peer_addresses
+        self.messages_sent = messages_sent
+        self.address = context.settings.location.address
+        self.unsent_spending = UnsentSpending()
+        self.coordinator_cache: dict[str, tuple[list[str], str]] = {}
+        self.requests_sent = 0
+        self.requested_units: Counter[str] = Counter()
+        self.pending_replies: dict[int, AsyncResult] = {}
+        self.skipped_until: dict[str, float] = {}
+        self.datagrams = DatagramPort("spending", DECODER, self.handle_message)
 
     def start(self, port: int) -> None:
-        """Begin to receive, and to hear of this node's own spending."""
+        """Start receiving, and take charge of this node's own spending."""
         self.datagrams.start(self.address, port)
-        self.context.take_units = self.take
+        self.context.take_units = self.try_spend
 
     def stop(self) -> None:
         """Stop receiving and close the port."""
         self.datagrams.stop()
 
-    def take(self, terms: OrganisationTerms, units: float) -> float:
-        """Return 0 and spend `units` if a request may come, else the seconds to wait.
+    def try_spend(self, terms: OrganisationLimits, units: float) -> float:
+        """Spend `units` and return 0 if a request is allowed, else the seconds to wait.
 
-        See :meth:`endive_core.sharing.SharedLimits.wait_s`. Among many nodes, what is
-        more than this node's part of the rest is asked for.
+        See :meth:`endive_core.shared_limits.SharedLimits.wait_s`. In a large fleet a
+        node has to request a grant for more than its even part of the rest.
         """
         limits = self.context.limits
-        for _ in range(MOST_ASKED):
+        for _ in range(MAX_GRANT_ATTEMPTS):
             now = time.monotonic()
             left, _ = limits.left(terms.name, now, rate=terms.rate, burst=terms.burst)
-            counting = self._counting_node(terms.name)
-            if counting == self.address or not self._must_ask(units, left):
-                return self._take_alone(terms, units, now)
-            wait_s = self._ask(counting, terms.name, units)
+            coordinator = self._coordinator(terms.name)
+            if coordinator == self.address or not self._needs_grant(units, left):
+                return self._spend_locally(terms, units, now)
+            wait_s = self._request_grant(coordinator, terms.name, units)
             if wait_s is not None:
                 return wait_s
-        return ASK_AGAIN_S
+        return GRANT_RETRY_AFTER_S
 
-    def _must_ask(self, units: float, left: float) -> bool:
+    def _needs_grant(self, units: float, left: float) -> bool:
         nodes = len(self.context.limits.peers) + 1
-        if nodes <= ASKING_NODES or left <= 0:
+        if nodes <= MAX_NODES_WITHOUT_GRANTS or left <= 0:
             return False
-        return not may_spend_unasked(units, left=left, nodes=nodes)
+        return not may_spend_without_grant(units, left=left, nodes=nodes)
 
-    def _take_alone(self, terms: OrganisationTerms, units: float, now: float) -> float:
+    def _spend_locally(
+        self, terms: OrganisationLimits, units: float, now: float
+    ) -> float:
         wait_s = self.context.limits.wait_s(
             terms.name, units, now, rate=terms.rate, burst=terms.burst
         )
         if wait_s <= 0:
-            self.spent(terms.name, units)
+            self.report_spent(terms.name, units)
         return wait_s
 
-    def _ask(self, counting: str, organisation: str, units: float) -> float | None:
-        """Spend if the node that adds up lets it; return its answer, or ``None``.
+    def _request_grant(
+        self, coordinator: str, organisation: str, units: float
+    ) -> float | None:
+        """Request a grant from the coordinator, and spend if it is given.
 
-        A node that was killed or hangs would be asked by each request in vain until it
-        is no longer listed, up to three seconds, and the organisation's callers would
-        be refused.
+        A coordinator that doesn't reply is replaced for a while. If each request waited
+        in vain for one that was killed or hangs, the organisation's callers would be
+        refused until it no longer counts as live, up to three seconds.
+
+        Returns
+        -------
+        float or None
+            0 if the units were spent, the seconds to wait, or ``None`` without a reply.
         """
-        self.asked += 1
-        number, answer = self.asked, AsyncResult()
-        self.answers[number] = answer
-        self.asked_units[organisation] += units
+        self.requests_sent += 1
+        number, reply = self.requests_sent, AsyncResult()
+        self.pending_replies[number] = reply
+        self.requested_units[organisation] += units
         try:
-            total = self._own(organisation, self.asked_units[organisation])
-            self._send(Ask(number, total), [counting])
-            wait_s = answer.get(timeout=ASK_S)
+            total = self._own_entry(organisation, self.requested_units[organisation])
+            self._send(GrantRequest(number, total), [coordinator])
+            wait_s = reply.get(timeout=GRANT_TIMEOUT_S)
         except gevent.Timeout:
-            self._pass_over(counting)
-            log_event("limit_not_answered", peer=counting, organisation=organisation)
+            self._skip_node(coordinator)
+            log_event("limit_not_answered", peer=coordinator, organisation=organisation)
             return None
         finally:
-            del self.answers[number]
-            self.asked_units[organisation] -= units
+            del self.pending_replies[number]
+            self.requested_units[organisation] -= units
         if wait_s <= 0:
             self.context.limits.spend(organisation, units)
         return wait_s
 
-    def _pass_over(self, counting: str) -> None:
-        """Let another node add up for a while."""
+    def _skip_node(self, coordinator: str) -> None:
+        """Use another coordinator for a while."""
         now = time.monotonic()
-        self.unasked_until = {n: t for n, t in self.unasked_until.items() if t > now}
-        self.unasked_until[counting] = now + UNASKED_S
+        self.skipped_until = {n: t for n, t in self.skipped_until.items() if t > now}
+        self.skipped_until[coordinator] = now + COORDINATOR_BACKOFF_S
+
+    def grant(self, request: GrantRequest) -> None:
+        """Reply to another node's request for a grant.
 
-    def answer(self, ask: Ask) -> None:
-        """Let another node spend, or say when it may."""
-        total = ask.total
+        There is no reply if the organisation is unknown, or if what the node has spent
+        so far is.
+        """
+        total = request.total
         terms = self.context.terms(total.organisation)
         if terms is None or total.address == self.address:
             return
         known = self.context.limits.peers.get(total.address)
         before = known.spent.get(total.organisation, 0.0) if known else 0.0
         wait_s = self.context.limits.grant(
-            total.spender,
+            total.origin,
             total.organisation,
             total.units,
             time.monotonic(),
@@ -208,89 +252,102 @@
         )
         if wait_s is None:
             return
-        self._send(Grant(ask.number, wait_s), [total.address])
+        self._send(GrantReply(request.number, wait_s), [total.address])
         if wait_s <= 0:
-            self._add(total.organisation, total.address, total.units - before)
+            self._add_unsent(total.organisation, total.address, total.units - before)
 
-    def spent(self, organisation: str, units: float) -> None:
-        """Note that this node has spent `units` more of a limit."""
-        counting = self._counting_node(organisation)
-        if counting == self.address:
-            self._add(organisation, self.address, units)
+    def report_spent(self, organisation: str, units: float) -> None:
+        """Report that this node has spent `units` more of a limit."""
+        coordinator = self._coordinator(organisation)
+        if coordinator == self.address:
+            self._add_unsent(organisation, self.address, units)
         else:
-            self._send(Notes([self._own(organisation)]), [counting])
+            self._send(SpendingReport([self._own_entry(organisation)]), [coordinator])
 
-    def hear(self, entries: list[Spending]) -> None:
-        """Take over what another node notes."""
+    def receive_report(self, entries: list[NodeSpending]) -> None:
+        """Apply another node's report; as coordinator, note what is new in it."""
         limits = self.context.limits
         now = time.monotonic()
         for entry in entries:
             if entry.address == self.address:
                 continue
-            new = limits.note(entry.spender, entry.organisation, entry.units, now)
-            counting = self._counting_node(entry.organisation)
-            if new > 0 and counting == self.address:
-                self._add(entry.organisation, entry.address, new)
+            new = limits.apply_update(
+                entry.origin, entry.organisation, entry.units, now
+            )
+            coordinator = self._coordinator(entry.organisation)
+            if new > 0 and coordinator == self.address:
+                self._add_unsent(entry.organisation, entry.address, new)
+
+    def _coordinator(self, organisation: str) -> str:
+        """Return the address of the organisation's coordinator.
 
-    def _counting_node(self, organisation: str) -> str:
-        """Return who adds up; a hash a node is computed only when the nodes change."""
+        It is cached until the nodes change, since it takes one hash for each node.
+        """
         now = time.monotonic()
-        asked = [n for n in self.others() if self.unasked_until.get(n, 0.0) <= now]
-        nodes = [self.address, *asked]
-        known, counting = self.counting.get(organisation, (None, ""))
+        candidates = [
+            n for n in self.peer_addresses() if self.skipped_until.get(n, 0.0) <= now
+        ]
+        nodes = [self.address, *candidates]
+        known, coordinator = self.coordinator_cache.get(organisation, (None, ""))
         if known != nodes:
-            counting = counting_node(organisation, nodes)
-            self.counting[organisation] = nodes, counting
-        return counting
+            coordinator = coordinator_for(organisation, nodes)
+            self.coordinator_cache[organisation] = nodes, coordinator
+        return coordinator
 
-    def _add(self, organisation: str, address: str, units: float) -> None:
-        """Add up, and tell all others if it is time to."""
-        self.count.add(organisation, address, units)
+    def _add_unsent(self, organisation: str, address: str, units: float) -> None:
+        """Add spending, and inform all other nodes when that is due."""
+        self.unsent_spending.add(organisation, address, units)
         terms = self.context.terms(organisation)
         if terms is None:
             return
         left, most = self.context.limits.left(
             organisation, time.monotonic(), rate=terms.rate, burst=terms.burst
         )
-        due = self.count.take_due(organisation, left=left, most=most)
-        found = [self._entry(organisation, spender) for spender in due]
+        due = self.unsent_spending.take_due(organisation, left=left, most=most)
+        found = [self._entry_of(organisation, origin) for origin in due]
         entries = [entry for entry in found if entry is not None]
-        addresses = self.others()
-        for first in range(0, len(entries), MOST_ENTRIES):
-            self._send(Notes(entries[first : first + MOST_ENTRIES]), addresses)
+        addresses = self.peer_addresses()
+        for first in range(0, len(entries), MAX_ENTRIES):
+            self._send(SpendingReport(entries[first : first + MAX_ENTRIES]), addresses)
 
-    def _entry(self, organisation: str, address: str) -> Spending | None:
-        """Return what is to be told of a node; nothing if it left or started anew."""
+    def _entry_of(self, organisation: str, address: str) -> NodeSpending | None:
+        """Return a node's entry for a report; ``None`` if it left or restarted."""
         if address == self.address:
-            return self._own(organisation)
+            return self._own_entry(organisation)
         peer = self.context.limits.peers.get(address)
-        if peer is None or organisation not in peer.noted:
+        if peer is None or organisation not in peer.last_updates:
             return None
-        tellings, units = peer.noted[organisation]
-        age_s = time.monotonic() - peer.born_at
-        return Spending(address, peer.incarnation, tellings, age_s, organisation, units)
+        messages_sent, units = peer.last_updates[organisation]
+        age_s = time.monotonic() - peer.started_at
+        return NodeSpending(
+            address, peer.incarnation, messages_sent, age_s, organisation, units
+        )
 
-    def _own(self, organisation: str, asked: float = 0.0) -> Spending:
-        units = self.context.limits.tell().get(organisation, 0.0) + asked
-        return Spending(
+    def _own_entry(self, organisation: str, requested: float = 0.0) -> NodeSpending:
+        units = self.context.limits.own_totals().get(organisation, 0.0) + requested
+        return NodeSpending(
             self.address,
             self.context.incarnation,
-            self.tellings(),
+            self.messages_sent(),
             time.monotonic() - self.context.started_at,
             organisation,
             units,
         )
 
-    def _send(self, message: Notes | Ask | Grant, addresses: list[str]) -> None:
+    def _send(
+        self, message: SpendingReport | GrantRequest | GrantReply, addresses: list[str]
+    ) -> None:
         self.datagrams.send(message, addresses)
 
-    def take_message(self, message: Notes | Ask | Grant, _address: str) -> None:
-        """Take over what another node sent."""
+    def handle_message(
+        self, message: SpendingReport | GrantRequest | GrantReply, _address: str
+    ) -> None:
+        """Handle a message from another node."""
         match message:
-            case Notes(entries):
-                self.hear(entries)
-            case Ask():
-                self.answer(message)
-            case Grant(number, wait_s):
-                if number in self.answers:
-                    self.answers[number].set(wait_s)
+            case SpendingReport(entries):
+                self.receive_report(entries)
+            case GrantRequest():
+                self.grant(message)
+            case GrantReply(number, wait_s):
+                if number in self.pending_replies:
+                    self.pending_replies[number].set(wait_s)
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -1,11 +1,11 @@
-"""Builders for tests of the gateway: its wire, its parts, and callers."""
+"""Builders for tests of the gateway: a wire, gateways in front of servers, callers."""
 
 import json
 
 import gevent
-from endive_core.clocks import TrueTime
+from endive_core.clocks import ClusterClock
 from endive_core.routing import (
-    OrganisationTerms,
+    OrganisationLimits,
     Route,
     RouteKind,
     RoutingTable,
@@ -20,12 +20,12 @@
 )
 from endive_gateway.forwarding import Forwarder
 from endive_gateway.interfaces import (
-    AnswerFacts,
     Bounds,
     GatewaySettings,
-    Place,
+    NodeLocation,
     PromptPart,
-    RequestFacts,
+    RequestMetadata,
+    ResponseMetadata,
     ServerEntry,
     header_value,
 )
@@ -39,47 +39,49 @@
 
 
 class PlainWire:
-    """Headers with names of the tests' own."""
+    """A wire that uses header names of the tests' own."""
 
     def decode_request(self, headers):
-        facts = RequestFacts(_text(headers, b"id"))
-        if not facts.id:
+        metadata = RequestMetadata(_text(headers, b"id"))
+        if not metadata.id:
             raise BadHeaderError("Id is missing")
         budget = _text(headers, b"wait-ms")
-        facts.budget_s = float(budget) / 1000 if budget else None
-        facts.key = _text(headers, b"key")
-        facts.last_event = _text(headers, b"after")
+        metadata.budget_s = float(budget) / 1000 if budget else None
+        metadata.key = _text(headers, b"key")
+        metadata.last_event_id = _text(headers, b"after")
         tokens = _text(headers, b"tokens")
         if tokens:
-            facts.prompt_tokens, facts.max_tokens = map(int, tokens.split(","))
+            metadata.prompt_tokens, metadata.max_tokens = map(int, tokens.split(","))
         parts = _text(headers, b"parts")
         if parts:
-            facts.parts = tuple(PromptPart(int(part), 100) for part in parts.split(","))
-        return facts
+            metadata.parts = tuple(
+                PromptPart(int(part), 100) for part in parts.split(",")
+            )
+        return metadata
 
-    def encode_request(self, headers, facts, sending):
+    def encode_request(self, headers, metadata, forwarding):
         ours = (b"wait-ms", b"key", b"after", b"meant", b"organisation")
         sent = [(n, v) for n, v in headers if n.lower() not in ours]
-        sent.append((b"Wait-Ms", b"%d" % (sending.left_s * 1000)))
-        sent.append((b"Meant", sending.server_id.encode()))
-        sent.append((b"Organisation", sending.organisation.encode()))
-        sent.append((b"Urgency", b"%d" % sending.urgency))
-        if sending.last_event:
-            sent.append((b"After", sending.last_event.encode()))
+        sent.append((b"Wait-Ms", b"%d" % (forwarding.left_s * 1000)))
+        sent.append((b"Meant", forwarding.server_id.encode()))
+        sent.append((b"Organisation", forwarding.organisation.encode()))
+        sent.append((b"Urgency", b"%d" % forwarding.server_priority))
+        if forwarding.last_event_id:
+            sent.append((b"After", forwarding.last_event_id.encode()))
         return sent
 
-    def kept(self):
+    def end_to_end_headers(self):
         return frozenset({b"id"})
 
-    def decode_answer(self, headers):
-        return AnswerFacts(
+    def decode_response(self, headers):
+        return ResponseMetadata(
             request_id=_text(headers, b"id"),
-            sealed=bool(header_value(headers, b"signed")),
+            signed=bool(header_value(headers, b"signed")),
             not_run=bool(header_value(headers, b"refused")),
         )
 
-    def own_answer(self, facts):
-        return [(b"Id", facts.id.encode())] if facts.id else []
+    def own_response_headers(self, metadata):
+        return [(b"Id", metadata.id.encode())] if metadata.id else []
 
     def decode_configuration(self, value):
         try:
@@ -99,7 +101,7 @@
 
 
 def make_route(**options):
-    """Return a route with everything a test doesn't care for."""
+    """Return a route with defaults for all options not given."""
     values = {
         "name": "r",
         "host": HOST,
@@ -115,7 +117,7 @@
 
 
 def make_table(*routes, version=1, organisations=None, keys=None, **options):
-    """Return a routing table; without routes, with one that takes all."""
+    """Return a routing table; by default its only route matches all paths."""
     return RoutingTable(
         version=version,
         routes=routes or (make_route(),),
@@ -126,19 +128,19 @@
     )
 
 
-def closed_table(**options):
-    """Return a table with one route that needs the key ``k`` of ``o``."""
+def authenticated_table(**options):
+    """Return a table whose only route requires the key ``k`` of organisation ``o``."""
     return make_table(
         make_route(public=False, **options),
-        organisations={"o": OrganisationTerms("o")},
+        organisations={"o": OrganisationLimits("o")},
         keys={"k": "o"},
     )
 
 
 def make_context(table=None, *, store=None, cloud=None, node="n1", bounds=None):
-    """Return a context without any loop running."""
+    """Return a context whose background loops are not running."""
     settings = GatewaySettings(
-        place=Place(node, "127.0.0.1", "z", 0, 0, 0, zones=("z",)),
+        location=NodeLocation(node, "127.0.0.1", "z", 0, 0, 0, zones=("z",)),
         bounds=bounds or Bounds(),
         duties=frozenset({"usage", "scale"}),
     )
@@ -151,21 +153,21 @@
 
 
 def make_entry(server_id="i-1", **options):
-    """Return a server's entry."""
+    """Return a server's registration entry."""
     values = {"service": SERVICE, "address": "127.0.0.1:1", "zone": "z", "slots": 8}
     return ServerEntry(server_id, **(values | options))
 
 
-class Running:
-    """A gateway's path with scripted servers behind it."""
+class RunningGateway:
+    """A gateway's request path in front of scripted servers."""
 
     def __init__(self, *servers, table=None):
         self.servers = servers
         self.context = make_context(table or make_table())
         for server in servers:
             self.context.registry.put(make_entry(server.id, address=server.address))
-        self.context.registry.known_once = True
-        self.context.registry.changed()
+        self.context.registry.is_loaded = True
+        self.context.registry.notify_listeners()
         self.listener = CallerListener(
             listen_tcp("127.0.0.1", 0),
             Forwarder(self.context),
@@ -179,7 +181,7 @@
         return Caller(self.listener.port)
 
     def call(self, *args, **options):
-        """Send one request on a connection of its own and return its answer."""
+        """Send one request on a new connection and return its response."""
         caller = self.caller()
         caller.send(*args, **options)
         return caller.receive()
@@ -194,13 +196,13 @@
             server.stop()
 
 
-class Answer:
-    """One answer as a caller got it.
+class Response:
+    """One response as a caller received it.
 
     Attributes
     ----------
     whole : bool
-        Whether it came to its proper end.
+        Whether it is complete.
     """
 
     def __init__(self, status, headers, body, whole):
@@ -215,7 +217,7 @@
 
 
 class Caller:
-    """A caller's connection, with bytes as a test wants them."""
+    """A caller's connection, on which a test can also send raw bytes."""
 
     ids = iter(range(1, 1_000_000))
 
@@ -247,7 +249,7 @@
         return bool(data)
 
     def receive(self):
-        """Return the next answer, or ``None`` if the connection ended before one."""
+        """Return the next response, or ``None`` if the connection ended before one."""
         while b"\r\n\r\n" not in self.buffer:
             if not self._more():
                 return None
@@ -263,7 +265,7 @@
                 pass
             body, self.buffer = self.buffer[:length], self.buffer[length:]
             whole = len(body) == length
-        return Answer(status, headers, body, whole)
+        return Response(status, headers, body, whole)
 
     def _chunks(self):
         body = b""
@@ -287,29 +289,29 @@
         return not self._more()
 
     def close(self):
-        """Hang up."""
+        """Close the connection."""
         self.sock.close()
 
 
-def two(first, second=ok, **route):
-    """Return a gateway before two servers of which the first asked follows `first`."""
+def gateway_with_two_servers(first, second=ok, **route):
+    """Return a gateway and two servers; the first request follows `first`."""
     script = [first, second]
 
-    def next_entry(sock, seen):
-        return (script.pop(0) if script else ok)(sock, seen)
+    def next_entry(sock, received):
+        return (script.pop(0) if script else ok)(sock, received)
 
     servers = [
         ScriptedServer(next_entry, next_entry, server_id=name)
         for name in ("i-1", "i-2")
     ]
-    return Running(*servers, table=make_table(make_route(**route)))
+    return RunningGateway(*servers, table=make_table(make_route(**route)))
 
 
-def arrivals(running):
-    """Return how many requests reached the servers of a running gateway."""
-    return sum(len(server.seen) for server in running.servers)
+def count_received_requests(running):
+    """Return how many requests the servers of a running gateway received."""
+    return sum(len(server.received) for server in running.servers)
 
 
-def fixed_time(context, wall):
-    """Let the context's true time stand at `wall`."""
-    context.true_time = TrueTime(lambda: 0.0, lambda: wall)
+def freeze_time(context, wall):
+    """Fix the context's cluster clock at `wall`, seconds."""
+    context.cluster_clock = ClusterClock(lambda: 0.0, lambda: wall)
--- a/packages/endive_gateway/tests/server_builders.py
+++ b/packages/endive_gateway/tests/server_builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the gateway: backend servers that follow a script."""
+"""Builders for tests of the gateway: backend servers with scripted responses."""
 
 import time
 
@@ -8,8 +8,8 @@
 from gevent.server import StreamServer
 
 
-class Seen:
-    """One request as a server got it."""
+class ReceivedRequest:
+    """One request as a server received it."""
 
     def __init__(self, message):
         self.method = message.method.decode()
@@ -21,14 +21,15 @@
 class ScriptedServer:
     """A backend server that follows a script, one entry for each request.
 
-    An entry is called with the socket and the request seen; one that is missing
-    answers ``ok``.
+    An entry is called with the socket and the received request. After the last entry
+    every request is answered with ``ok``. An entry that returns False ends the
+    connection.
     """
 
     def __init__(self, *script, server_id="i-1"):
         self.id = server_id
         self.script = list(script)
-        self.seen = []
+        self.received = []
         self.connections = 0
         self.closed = []
         self.server = StreamServer(listen_tcp("127.0.0.1", 0), self._serve)
@@ -52,10 +53,10 @@
                         self.closed.append(time.monotonic())
                         return
                     parser.feed(data)
-                seen = Seen(parser.messages.popleft())
-                self.seen.append(seen)
+                received = ReceivedRequest(parser.messages.popleft())
+                self.received.append(received)
                 entry = self.script.pop(0) if self.script else ok
-                if entry(sock, seen) is False:
+                if entry(sock, received) is False:
                     return
         except OSError:
             self.closed.append(time.monotonic())
@@ -64,18 +65,18 @@
 
 
 def answer(status=200, body=b"fine", *, signed=True, extra="", request_id=None):
-    """Return a script entry that answers with a length."""
+    """Return a script entry that sends a response with a ``Content-Length``."""
 
-    def send(sock, seen):
-        sock.sendall(encoded(seen, status, body, signed, extra, request_id))
+    def send(sock, received):
+        sock.sendall(encoded(received, status, body, signed, extra, request_id))
 
     return send
 
 
-def encoded(seen, status=200, body=b"fine", signed=True, extra="", request_id=None):
-    """Return the bytes of an answer."""
+def encoded(received, status=200, body=b"fine", signed=True, extra="", request_id=None):
+    """Return the bytes of a response."""
     signature = "Signed: yes\r\n" if signed else ""
-    request_id = request_id or seen.headers["id"]
+    request_id = request_id or received.headers["id"]
     head = (
         f"HTTP/1.1 {status} X\r\nId: {request_id}\r\n{signature}{extra}"
         f"Content-Length: {len(body)}\r\n\r\n"
@@ -84,33 +85,36 @@
 
 
 ok = answer()
-full = answer(503, b"full", extra="Refused: 1\r\n")
-elsewhere = answer(421, b"", extra="Refused: 1\r\n")
+at_capacity = answer(503, b"full", extra="Refused: 1\r\n")
+misdirected = answer(421, b"", extra="Refused: 1\r\n")
 failing = answer(500, b"failed")
 
 
-def reset(sock, _seen):
-    """Close without a word, as a crash does."""
+def close_connection(sock, _received):
+    """Close the connection without a response, as a crash does."""
     sock.close()
     return False
 
 
 def raw(data, *, close=False):
-    """Return a script entry that sends bytes as they are; ``%ID`` is the request's."""
+    """Return a script entry that sends `data`, with the request's id for ``%ID``."""
 
-    def send(sock, seen):
-        sock.sendall(data.replace(b"%ID", seen.headers["id"].encode()))
+    def send(sock, received):
+        sock.sendall(data.replace(b"%ID", received.headers["id"].encode()))
         return False if close else None
 
     return send
 
 
 def events(first, last, *, cut=b"", end=True, gap_s=0.0):
-    """Return a script entry that streams events with ids from `first` to `last`."""
+    """Return a script entry that streams events with ids from `first` to `last`.
 
-    def send(sock, seen):
+    `cut` is sent after them. Without `end` the connection closes inside the body.
+    """
+
+    def send(sock, received):
         head = (
-            f"HTTP/1.1 200 OK\r\nId: {seen.headers['id']}\r\nSigned: yes\r\n"
+            f"HTTP/1.1 200 OK\r\nId: {received.headers['id']}\r\nSigned: yes\r\n"
             "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
         )
         sock.sendall(head.encode())
@@ -128,15 +132,15 @@
 
 
 def event(number):
-    """Return the bytes of one event."""
+    """Return the bytes of one server-sent event."""
     return b"id: %d\ndata: t%d\n\n" % (number, number)
 
 
 def chunk(data):
-    """Return one chunk."""
+    """Return `data` in chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def silent(_sock, _seen):
-    """Never answer."""
+def unresponsive(_sock, _received):
+    """Send no response within 30 s."""
     gevent.sleep(30)
--- a/packages/endive_gateway/tests/test_logstream.py
+++ b/packages/endive_gateway/tests/test_logstream.py
@@ -2,7 +2,7 @@
 import time
 
 import pytest
-from endive_gateway.logstream import LINES_AT_ONCE, PENDING_BYTES, LogStream
+from endive_gateway.logstream import BURST_LINES, MAX_PENDING_BYTES, LogStream
 
 
 @pytest.fixture
@@ -34,14 +34,14 @@
 
 
 def test_a_reader_that_stalls_holds_nothing_up(pipe):
-    """Whoever collects the logs stops reading. The process must go on answering, and
-    say afterwards how many lines are missing."""
+    """The log collector stops reading. Writes must not block, and the next line written
+    must report how many lines were dropped."""
     stream = LogStream(pipe[1])
     started = time.monotonic()
     for _ in range(1500):
         stream.write("event=x " + "a" * 200 + "\n")
     assert time.monotonic() - started < 1.0
-    assert len(stream.pending) <= PENDING_BYTES
+    assert len(stream.pending) <= MAX_PENDING_BYTES
     assert stream.dropped > 0
     read_all(pipe[0])
     stream.flush()
@@ -57,7 +57,7 @@
     for _ in range(20_000):
         stream.write("event=x\n")
         total += len(read_all(pipe[0]).splitlines())
-    assert total < LINES_AT_ONCE * 1.5
+    assert total < BURST_LINES * 1.5
 
 
 def test_a_reader_that_is_gone_is_no_error(pipe):
@@ -70,8 +70,8 @@
 
 
 def test_the_end_of_the_process_is_quiet(pipe):
-    """The logging library closes its stream when the process ends; a stream that can't
-    be closed left a traceback as the last words of each planned stop."""
+    """The logging library closes its stream when the process exits. A stream without
+    ``close`` logged a traceback at each planned stop."""
     stream = LogStream(pipe[1])
     stream.write("event=x\n")
     stream.close()
--- a/packages/endive_node/src/endive_node/__init__.py
+++ b/packages/endive_node/src/endive_node/__init__.py
@@ -1,14 +1,16 @@
-"""The serving process: callers, operators, peers, platform and backend servers.
+"""The serving process between callers, operators, platform and backend servers.
 
-Its modules, by their work:
+Its modules by task:
 
-- the whole: ``node``, ``settings``, ``interfaces``, ``contexts``, ``cli``, ``embedded``
-- callers' side: ``callers``, ``serving``, ``runs``, ``ledger``, ``watching``
-- servers' side: ``attempts``, ``backends``, ``dispatching``, ``waiters``, ``observing``
-- requests that move: ``moves``, ``moving``, ``handover``, ``takeover``, ``locating``
-- operators: ``operators``, ``reporting``, ``explaining``
-- what the platform says: ``platform``, ``configuration``, ``snapshots``,
+- process: ``node``, ``settings``, ``interfaces``, ``contexts``, ``cli``, ``embedded``
+- callers: ``callers``, ``serving``, ``runs``, ``request_registry``, ``watching``
+- backend servers: ``attempts``, ``backends``, ``dispatching``, ``waiters``,
+  ``server_polling``
+- transfer of requests: ``pending_moves``, ``stream_mover``, ``handover``, ``takeover``,
+  ``request_lookup``
+- operators: ``operators``, ``reporting``, ``request_traces``
+- platform: ``platform``, ``configuration``, ``snapshots``,
   ``snapshot_writer``, ``claiming``, ``shards``, ``notices``
-- between nodes: ``gossip``, ``peers``, ``spreading``
-- plumbing: ``listeners``, ``sockets``, ``logs``, ``telemetry``
+- between nodes: ``gossip``, ``peers``, ``fact_exchange``
+- infrastructure: ``listeners``, ``sockets``, ``logs``, ``telemetry``
 """
--- a/packages/endive_node/src/endive_node/embedded.py
+++ b/packages/endive_node/src/endive_node/embedded.py
@@ -1,6 +1,7 @@
-"""One process with everything: the node, and stand-ins for all it talks to.
+"""Runs a node with stand-ins for platform and backend servers in one process.
 
-For a first look and for trying resources out; nothing here survives the process.
+It is meant for trying out the API and the resources. Nothing is stored beyond the
+process.
 """
 
 import time
@@ -29,21 +30,23 @@
 
 
 def start_embedded() -> Node:
-    """Start stand-ins and node, and print lines to paste."""
+    """Start the stand-ins and a node, and print example commands."""
     log = serve(Log.from_config())
     engines = [serve(Engine.from_config(id=f"engine-{number}")) for number in (1, 2)]
     plain = serve(Plain.from_config(id="reservation-1"))
     node = Node.from_settings(embedded_settings(log))
     for number, resource in enumerate(example_resources(engines, plain)):
-        node.log.append(CONFIGURATION_STREAM, [encode(creation(number, resource))])
+        node.log.append(
+            CONFIGURATION_STREAM, [encode(creation_change(number, resource))]
+        )
     node.start()
     node.configuration.ready.wait()
-    print_welcome(node)
+    print_examples(node)
     return node
 
 
 def embedded_settings(log: Server) -> Settings:
-    """Return the settings of a lone node beside the log stand-in."""
+    """Return the settings of a single node that uses the log stand-in."""
     return Settings.from_config(
         {
             "node": {"id": "node-1", "zone": ZONES[0]},
@@ -60,7 +63,7 @@
 
 
 def example_resources(engines: list[Server], plain: Server) -> list[Resource]:
-    """Return an organisation, two services, a model version and a deployment."""
+    """Return example resources: an organisation, its services and a deployment."""
     bodies = [
         ("organisation", OWNER, {"caller_key_hashes": [hash_key(CALLER_KEY)]}),
         ("priority", "interactive", {"level": 10}),
@@ -69,12 +72,12 @@
         (
             "backend-server-service",
             "engines",
-            {"servers": listed("engine", engines), "decode_tokens_per_s": 50},
+            {"servers": server_entries("engine", engines), "decode_tokens_per_s": 50},
         ),
         (
             "backend-server-service",
             "reservations",
-            {"type": "plain", "servers": listed("reservation", [plain])},
+            {"type": "plain", "servers": server_entries("reservation", [plain])},
         ),
         (
             "deployment",
@@ -88,8 +91,8 @@
     ]
 
 
-def listed(name: str, servers: list[Server]) -> list[dict]:
-    """Return the entries of a backend server service for stand-ins."""
+def server_entries(name: str, servers: list[Server]) -> list[dict]:
+    """Return the server entries of a backend server service."""
     return [
         {
             "id": f"{name}-{number}",
@@ -100,7 +103,7 @@
     ]
 
 
-def creation(number: int, resource: Resource) -> Change:
+def creation_change(number: int, resource: Resource) -> Change:
     """Return the change that creates `resource`."""
     return Change(
         change_id=f"embedded-{number}",
@@ -112,11 +115,11 @@
     )
 
 
-def print_welcome(node: Node) -> None:
-    """Print a call and a look at the resources, to paste as they stand."""
+def print_examples(node: Node) -> None:
+    """Print example commands for a request and for listing resources."""
     address = node.settings.node.address
     operators = f"http://{address}:{node.operators.port}"
-    print("endive-node runs with stand-ins in this process. Try, in another shell:\n")
+    print("endive-node runs with stand-ins in this process. Try in another shell:\n")
     print(CURL_LINE.format(address=address, port=node.callers.port, key=CALLER_KEY))
     print(
         f"\n.venv/bin/endivectl --server {operators} --token {OPERATOR_TOKEN} "
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -1,4 +1,4 @@
-"""The node: the central object that holds every part and is started and stopped."""
+"""The node: creates all parts of the process, starts and stops them."""
 
 import gevent
 from endive_core.members import MemberState
@@ -9,33 +9,33 @@
 from endive_node.claiming import LogClaims
 from endive_node.configuration import Configuration
 from endive_node.dispatching import Dispatcher
+from endive_node.fact_exchange import FactExchange
 from endive_node.gossip import Gossip
 from endive_node.handover import Handover
 from endive_node.listeners import HttpListener
-from endive_node.locating import Locator
 from endive_node.logs import log_event
-from endive_node.moving import Mover
-from endive_node.notices import NoticeBoard, NoticeWatcher
-from endive_node.observing import Observer
+from endive_node.notices import NoticeTable, NoticeWatcher
 from endive_node.operators import OperatorApi
-from endive_node.peers import PeerConfigurations, PeerHandler, PeerListener
+from endive_node.peers import PeerConfigurationSource, PeerHandler, PeerListener
 from endive_node.platform import HttpCloud, HttpInstanceList, HttpLog
+from endive_node.request_lookup import Locator
+from endive_node.server_polling import ServerPoller
 from endive_node.serving import Serving
 from endive_node.settings import Settings
 from endive_node.snapshot_writer import SnapshotWriter
-from endive_node.spreading import Spreader
+from endive_node.stream_mover import StreamMover
 from endive_node.telemetry import Metrics, MonotonicClock
 
 DRAIN_POLL_S = 0.05
 MAX_DRAIN_S = 600.0
-"""Longest a planned stop waits for answers under way."""
+"""Longest time that a planned stop waits for unfinished answers, seconds."""
 
 
 class Node:
-    """One process of endivestack, the same on every instance.
+    """One serving process; every instance runs the same one.
 
-    Users meet it as ``endive-node``; tests make it with :meth:`from_settings` and
-    fakes for the platform.
+    The command ``endive-node`` runs it. Tests create it with :meth:`from_settings`
+    and fakes for the platform.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -56,7 +56,7 @@
         )
         self.configuration.listeners.append(lambda _: self.dispatcher.refresh())
         self._make_gossip()
-        self.observer = Observer(
+        self.server_poller = ServerPoller(
             self.dispatcher,
             self.clients,
             settings.backends,
@@ -81,29 +81,35 @@
             clock=self.clock,
             claims=self.claims,
         )
-        self._make_reclaim()
+        self._make_handover()
         self._make_listeners()
         self.greenlets: list[gevent.Greenlet] = []
         self.stopped = Event()
 
     @classmethod
     def from_settings(cls, settings: Settings) -> "Node":
-        """Return a node that is not started yet, its ports already bound."""
+        """Return a node whose ports are bound and which is not started yet."""
         return cls(settings)
 
-    def _make_reclaim(self) -> None:
+    def _make_handover(self) -> None:
         settings, platform = self.settings, self.settings.platform
-        self.board = NoticeBoard(self.clock)
+        self.notices = NoticeTable(self.clock)
         cloud = platform.cloud and HttpCloud(platform.cloud, platform.timeout_s)
-        self.notices = NoticeWatcher(
-            self.board, cloud, self.instance_list, platform.notice_poll_s
+        self.notice_watcher = NoticeWatcher(
+            self.notices, cloud, self.instance_list, platform.notice_poll_s
         )
-        self.handover = Handover(self.serving, settings.node, self.members, self.board)
-        self.spreader = Spreader(self.gossip, self.board, self.dispatcher.crashes)
-        self.mover = Mover(self.serving, self.dispatcher, self.board)
-        self.configuration.listeners.append(lambda _: self.mover.mark())
-        self.serving.elsewhere = Locator(
-            settings.node.id, self.members, self.board, self.clock
+        self.handover = Handover(
+            self.serving, settings.node, self.members, self.notices
+        )
+        self.fact_exchange = FactExchange(
+            self.gossip, self.notices, self.dispatcher.crashes
+        )
+        self.stream_mover = StreamMover(self.serving, self.dispatcher, self.notices)
+        self.configuration.listeners.append(
+            lambda _: self.stream_mover.mark_leaving_servers()
+        )
+        self.serving.request_locator = Locator(
+            settings.node.id, self.members, self.notices, self.clock
         )
 
     def _make_listeners(self) -> None:
@@ -117,7 +123,7 @@
         handler = PeerHandler(
             section.id,
             self.configuration,
-            self.serving.trails,
+            self.serving.traces,
             self.handover,
             self.claims,
         )
@@ -143,7 +149,7 @@
 
     def _make_snapshots(self) -> None:
         configuration = self.configuration
-        configuration.source = PeerConfigurations(
+        configuration.source = PeerConfigurationSource(
             self.members, self.gossip.random.shuffle
         )
         self.snapshots = SnapshotWriter(
@@ -176,9 +182,9 @@
             self.join,
             self.serving.expire,
             self.dispatcher.pump_often,
-            self.observer.follow,
-            self.notices.watch_notices,
-            self.notices.watch_list,
+            self.server_poller.follow,
+            self.notice_watcher.watch_notices,
+            self.notice_watcher.watch_list,
         )
         for loop in loops:
             self.greenlets.append(gevent.spawn(loop))
@@ -192,18 +198,18 @@
         )
 
     def join(self) -> None:
-        """Say that this node is live once it has a configuration."""
+        """Announce this node as live once it has a configuration."""
         self.configuration.ready.wait()
         if not self.serving.leaving:
             self.members.set_state(MemberState.LIVE)
 
     def drain(self) -> None:
-        """Stop as planned: take nothing new, finish every answer under way.
+        """Stop as planned: finish all answers under way and accept no new requests.
 
-        The balancer learns from /healthz, some time later, that this node goes. A
-        node that refuses calls at once, or closes its port, fails those that the
-        balancer still sends; so it says 503 there first and takes calls until the
-        balancer has looked.
+        The load balancer learns of the stop from /healthz, with a delay. If the node
+        refused calls or closed its port at once, the calls that the balancer still
+        sends would fail. It therefore first responds 503 on /healthz and accepts
+        calls for `drain_settle_s` seconds.
         """
         if self.serving.leaving:
             return
@@ -211,18 +217,20 @@
         self.members.leave()
         gevent.sleep(self.settings.node.drain_settle_s)
         self.serving.stopping = True
-        log_event("node_draining", in_flight=len(self.serving.ledger.unfinished()))
+        log_event("node_draining", in_flight=len(self.serving.registry.unfinished()))
         deadline = self.clock.now() + MAX_DRAIN_S
         while self._busy() and self.clock.now() < deadline:
             gevent.sleep(DRAIN_POLL_S)
         self.stop()
 
     def _busy(self) -> bool:
-        """Return whether an answer is under way, to a caller or from a server."""
-        return bool(self.serving.ledger.unfinished() or self.callers.calls)
+        """Return whether an answer is in progress, to a caller or from a server."""
+        return bool(
+            self.serving.registry.unfinished() or self.callers.calls_in_progress
+        )
 
     def stop(self) -> None:
-        """Stop at once what still runs."""
+        """Stop all listeners and loops at once."""
         self.callers.stop(timeout_s=1.0)
         self.operators.stop(timeout_s=1.0)
         self.peers.stop()
--- a/packages/endive_node/tests/test_ledger.py
+++ b/packages/endive_node/tests/test_request_registry.py
@@ -1,14 +1,14 @@
 import pytest
 from endive_core.messages import Endpoint, Piece, Request
-from endive_node.ledger import RequestRecord
+from endive_node.request_registry import RequestRecord
 
 
 @pytest.fixture
 def record():
     request = Request("r-1", "kerloch", "default", "chat", Endpoint.CHAT, {}, "x", 9)
     record = RequestRecord(request, accepted_at=0.0, attempt=2)
-    record.take(Piece("r-1", 2, 0, "a "))
-    record.take(Piece("r-1", 2, 1, "b "))
+    record.append(Piece("r-1", 2, 0, "a "))
+    record.append(Piece("r-1", 2, 1, "b "))
     return record
 
 
@@ -22,7 +22,7 @@
         (Piece("r-1", 2, 3, "d "), "reordered"),
     ],
 )
-def test_only_the_next_piece_of_this_attempt_is_shown(record, piece, reason):
-    """A server repeats, swaps or misdirects pieces, or an attempt that was given up
-    still talks; the caller would read a garbled answer, or a stranger's."""
+def test_only_the_next_piece_of_this_attempt_is_appended(record, piece, reason):
+    """A server repeats, swaps or misdirects pieces, or an abandoned attempt still sends
+    some; the caller would read a garbled response, or another caller's."""
     assert record.classify(piece) == reason
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -1,4 +1,4 @@
-"""The first moments of a gateway, as callers meet them."""
+"""The start of a gateway, as seen by callers."""
 
 import json
 import os
@@ -21,10 +21,10 @@
         return sock.getsockname()[1]
 
 
-def settings_file(tmp_path, monkeypatch, content):
+def write_settings_file(tmp_path, monkeypatch, content):
     path = tmp_path / "local.json"
     path.write_text(content)
-    monkeypatch.setenv(listening.PATH_VARIABLE, str(path))
+    monkeypatch.setenv(listening.SETTINGS_PATH_VARIABLE, str(path))
 
 
 def serve(context, listener):
@@ -33,34 +33,34 @@
     return found
 
 
-def know(context, server):
+def register_server(context, server):
     context.registry.put(make_entry(server.id, address=server.address))
-    context.registry.known_once = True
-    context.registry.changed()
+    context.registry.is_loaded = True
+    context.registry.notify_listeners()
 
 
 def test_a_caller_that_connects_while_libraries_load_is_served(tmp_path, monkeypatch):
-    """All nodes lost power and start again. A caller connects before a node's libraries
-    are loaded; refused, it would have used up its one further try."""
+    """All nodes restart after a power failure. A caller that connects before a node's
+    libraries are loaded must not be refused, since that would use up its only retry."""
     address = f"127.0.0.1:{free_port()}"
-    settings_file(
+    write_settings_file(
         tmp_path, monkeypatch, json.dumps({"listen": {"front": address}, "x": 1})
     )
-    listener = listening.open_callers_port()
+    listener = listening.open_caller_socket()
     caller = Caller(listener.getsockname()[1])
     caller.send()
     server = ScriptedServer()
     context = make_context(make_table())
-    know(context, server)
+    register_server(context, server)
     serving = serve(context, listener)
     assert caller.receive().status == 200
     serving.stop_accepting()
     server.stop()
 
 
-def test_a_request_waits_until_a_node_that_just_started_is_informed():
-    """A caller reaches a node 30 ms before the store's answers do. A refusal would use
-    up its one further try."""
+def test_a_request_waits_until_a_starting_node_knows_routes_and_servers():
+    """A request arrives 30 ms before the store's responses. A refusal would use up the
+    caller's only retry."""
     server = ScriptedServer()
     context = make_context()
     serving = serve(context, listening.listen_tcp("127.0.0.1", 0))
@@ -69,15 +69,15 @@
     gevent.sleep(0.05)
     context.configure(make_table(), b"", "test")
     gevent.sleep(0.05)
-    know(context, server)
+    register_server(context, server)
     assert caller.receive().status == 200
     serving.stop_accepting()
     server.stop()
 
 
-def test_a_node_without_a_store_refuses_at_once_after_its_start():
-    """The store is away for long. Each caller that waited half a second for nothing
-    would have gone to another node sooner."""
+def test_a_node_without_a_store_refuses_at_once_after_the_start_wait():
+    """The store is unavailable for long. A caller that waited half a second in
+    vain could have tried another node that much sooner."""
     context = make_context()
     context.started_at -= START_WAIT_S
     serving = serve(context, listening.listen_tcp("127.0.0.1", 0))
@@ -88,30 +88,30 @@
     serving.stop_accepting()
 
 
-def test_settings_that_can_not_be_used_open_nothing(tmp_path, monkeypatch):
+def test_unusable_settings_open_no_socket(tmp_path, monkeypatch):
     for content in ("", "[]", "{}", '{"listen": {"front": 5}}', '{"listen": []}'):
-        settings_file(tmp_path, monkeypatch, content)
-        assert listening.open_callers_port() is None
-    monkeypatch.delenv(listening.PATH_VARIABLE)
-    assert listening.open_callers_port() is None
+        write_settings_file(tmp_path, monkeypatch, content)
+        assert listening.open_caller_socket() is None
+    monkeypatch.delenv(listening.SETTINGS_PATH_VARIABLE)
+    assert listening.open_caller_socket() is None
 
 
 def test_the_port_opens_before_the_large_libraries_load():
-    """A library that is loaded first keeps callers out for as long as it takes."""
+    """Callers are refused for as long as libraries load before the port is open."""
     large = ("gevent", "msgspec", "absl", "urllib3")
     assert loaded_by("endive_platform.listening", large) == "[]"
 
 
-def test_a_gateway_loads_no_library_that_it_can_serve_without():
-    """All nodes lost power and start again. Until their libraries are loaded callers
-    wait: 150 ms of processor time with urllib3 and absl and what these bring, 105 ms
-    without, medians of three starts each."""
+def test_a_gateway_loads_no_unneeded_library():
+    """All nodes restart after a power failure, and callers wait until the libraries are
+    loaded. That takes 150 ms of processor time with urllib3, absl and their imports,
+    and 105 ms without (medians of three starts each)."""
     large = ("urllib3", "absl", "ssl", "email", "argparse", "pydantic", "thrift")
     assert loaded_by("endive_platform.__main__", large) == "[]"
 
 
 def loaded_by(module, names):
-    """Return which of `names` a program loads together with `module`."""
+    """Return which modules of `names` are loaded by importing `module`."""
     program = (
         f"import sys, {module};print([name for name in {names} if name in sys.modules])"
     )
