--- a/packages/endive_ctl/src/endive_ctl/cli.py
+++ b/packages/endive_ctl/src/endive_ctl/cli.py
@@ -17,10 +17,10 @@
 from endive_ctl.client import UNREACHABLE, ApiError, OperatorClient
 from endive_ctl.files import FileError, read_resources
 from endive_ctl.loglines import read_lines
-from endive_ctl.losses import Losses
+from endive_ctl.losses import LossReport
 
 DEFAULT_SERVERS = "http://127.0.0.1:8081"
-WATCH_PAUSE_S = 1.0
+WATCH_RETRY_DELAY_S = 1.0
 
 
 class ExitCode(IntEnum):
@@ -56,9 +56,9 @@
         if output not in ("table", "json"):
             raise FileError(f"--output: found {output!r}, allowed: table, json")
         servers = server or os.environ.get("ENDIVE_SERVER", DEFAULT_SERVERS)
-        listed = servers.split(",") if isinstance(servers, str) else list(servers)
+        addresses = servers.split(",") if isinstance(servers, str) else list(servers)
         self._client = OperatorClient(
-            listed, str(token) or os.environ.get("ENDIVE_TOKEN", "")
+            addresses, str(token) or os.environ.get("ENDIVE_TOKEN", "")
         )
         self._json = output == "json"
 
@@ -77,9 +77,9 @@
         if dry_run:
             options["dry_run"] = "true"
         for resource in resources:
-            answer = self._client.put(resource, **options)
+            response = self._client.put(resource, **options)
             name = f"{resource['kind']}/{resource['name']}"
-            self._show(answer, applied_line(name, answer))
+            self._show(response, applied_line(name, response))
 
     def check(self, file: str) -> None:
         """Check FILE without a node."""
@@ -88,18 +88,18 @@
 
     def get(self, kind: str, name: str) -> None:
         """Show one resource and its status."""
-        answer = self._client.get(kind, name)
-        self._show(answer, json_text(answer))
+        response = self._client.get(kind, name)
+        self._show(response, json_text(response))
 
     def list(self, kind: str) -> None:
         """Show all resources of KIND."""
-        answer = self._client.list(kind)
-        self._show(answer, tables.resources(answer["items"]))
+        response = self._client.list(kind)
+        self._show(response, tables.resources(response["items"]))
 
     def delete(self, kind: str, name: str, expected_version: int | None = None) -> None:
         """Delete one resource, if it is still as this command sees it."""
-        answer = self._client.delete(kind, name, expected_version=expected_version)
-        self._show(answer, f"{kind}/{name} deleted, version {answer['version']}")
+        response = self._client.delete(kind, name, expected_version=expected_version)
+        self._show(response, f"{kind}/{name} deleted, version {response['version']}")
 
     def watch(
         self, kind: str | None = None, start: int | None = None, count: int = 0
@@ -108,7 +108,7 @@
 
         A watch that breaks goes on at the next node from the last version seen.
         """
-        seen = 0
+        shown = 0
         while True:
             try:
                 for event in self._client.watch(start, kind):
@@ -119,24 +119,24 @@
                     if event.name != "change":
                         continue
                     self._show(event.data, tables.event(event.version, event.data))
-                    seen += 1
-                    if seen == count:
+                    shown += 1
+                    if shown == count:
                         return
             except ApiError as error:
                 if error.kind != UNREACHABLE:
                     raise
                 print(f"endivectl: {error}; going on", file=sys.stderr)
-                time.sleep(WATCH_PAUSE_S)
+                time.sleep(WATCH_RETRY_DELAY_S)
 
     def status(self) -> None:
         """Show nodes, servers, refusals and configuration, as one node sees them."""
-        answer = self._client.status()
-        self._show(answer, tables.status(answer))
+        response = self._client.status()
+        self._show(response, tables.status(response))
 
     def explain(self, request_id: str) -> None:
         """Show what became of a request, and why."""
-        answer = self._client.explain(request_id)
-        self._show(answer, tables.explanation(answer))
+        response = self._client.explain(request_id)
+        self._show(response, tables.explanation(response))
 
     def losses(self, *files: str, every: float = 2.0) -> None:
         """Show where callers lost, by route and cause, from gateways' log FILES.
@@ -145,8 +145,8 @@
         """
         if not isinstance(every, int | float) or every <= 0:
             raise FileError(f"--every: found {every!r}, allowed: seconds over 0")
-        found = Losses.from_lines(read_lines(files), every)
-        self._show(found.to_body(), tables.losses(found))
+        report = LossReport.from_lines(read_lines(files), every)
+        self._show(report.to_body(), tables.losses(report))
 
     def trace(self, request_id: str, *files: str) -> None:
         """Show the way of one request over all nodes, from gateways' log FILES."""
@@ -157,18 +157,18 @@
         ]
         if not lines:
             raise FileError(f"no line of request {request_id} in these files")
-        answer = {"lines": [dataclasses.asdict(line) for line in lines]}
-        self._show(answer, tables.trace(lines))
+        response = {"lines": [dataclasses.asdict(line) for line in lines]}
+        self._show(response, tables.trace(lines))
 
-    def _show(self, answer: dict, text: str) -> None:
-        print(json_text(answer) if self._json else text, flush=True)
+    def _show(self, response: dict, text: str) -> None:
+        print(json_text(response) if self._json else text, flush=True)
 
 
-def applied_line(name: str, answer: dict) -> str:
+def applied_line(name: str, response: dict) -> str:
     """Return the line that tells what became of one applied resource."""
-    if not answer.get("dry_run"):
-        return f"{name} version {answer['version']}"
-    verb = "change" if answer["before"] else "create"
+    if not response.get("dry_run"):
+        return f"{name} version {response['version']}"
+    verb = "change" if response["before"] else "create"
     return f"{name} would {verb}"
 
 
--- a/packages/endive_ctl/src/endive_ctl/client.py
+++ b/packages/endive_ctl/src/endive_ctl/client.py
@@ -9,7 +9,7 @@
 import urllib3
 
 UNREACHABLE = "unreachable"
-WATCH_SILENCE_S = 10.0
+WATCH_TIMEOUT_S = 10.0
 """A node says every 2 s which version it has reached; one that is silent for longer
 hangs, and the watch goes on elsewhere."""
 
@@ -60,10 +60,10 @@
         """
         response = self._send(method, path, body, query)
         try:
-            answer = msgspec.json.decode(response.data or b"null")
+            decoded = msgspec.json.decode(response.data or b"null")
         except (msgspec.DecodeError, urllib3.exceptions.HTTPError) as error:
             raise ApiError(UNREACHABLE, f"the answer was cut off: {error}") from None
-        return checked(response.status, answer)
+        return body_or_error(response.status, decoded)
 
     def _send(self, method: str, path: str, body: Any, query: dict, **options: Any):
         """Return the response of the first node that can be connected to.
@@ -131,15 +131,15 @@
             None,
             query,
             preload_content=False,
-            timeout=urllib3.Timeout(connect=self.timeout_s, read=WATCH_SILENCE_S),
+            timeout=urllib3.Timeout(connect=self.timeout_s, read=WATCH_TIMEOUT_S),
         )
         if response.status != 200:
-            checked(response.status, msgspec.json.decode(response.read()))
+            body_or_error(response.status, msgspec.json.decode(response.read()))
         buffer = b""
         try:
             for data in response.stream(65536, decode_content=False):
-                *whole, buffer = (buffer + data).split(b"\n\n")
-                yield from map(parse_event, whole)
+                *blocks, buffer = (buffer + data).split(b"\n\n")
+                yield from map(parse_event, blocks)
         except urllib3.exceptions.HTTPError as error:
             raise ApiError(UNREACHABLE, f"the watch broke: {error}") from None
         raise ApiError(UNREACHABLE, "the node ended the watch")
@@ -150,11 +150,11 @@
     return f"/v1/resources/{quote(kind)}/{quote(name)}"
 
 
-def checked(status: int, answer: Any) -> Any:
-    """Return `answer`, or raise the error that it is."""
+def body_or_error(status: int, decoded: Any) -> Any:
+    """Return `decoded`, or raise the error that it is."""
     if status < 400:
-        return answer
-    error = answer["error"]
+        return decoded
+    error = decoded["error"]
     raise ApiError(error["code"], error["message"], error)
 
 
--- a/packages/endive_ctl/src/endive_ctl/files.py
+++ b/packages/endive_ctl/src/endive_ctl/files.py
@@ -28,10 +28,10 @@
     entries = value.get("resources")
     if not isinstance(entries, list) or set(value) != {"resources"}:
         raise FileError(f"{path}: expected [[resources]] tables and nothing else")
-    return [_checked(path, number, entry) for number, entry in enumerate(entries, 1)]
+    return [_validated(path, number, entry) for number, entry in enumerate(entries, 1)]
 
 
-def _checked(path: str | Path, number: int, entry: dict) -> dict:
+def _validated(path: str | Path, number: int, entry: dict) -> dict:
     try:
         Resource.from_body(entry)
     except EndiveError as error:
--- a/packages/endive_ctl/src/endive_ctl/loglines.py
+++ b/packages/endive_ctl/src/endive_ctl/loglines.py
@@ -7,11 +7,11 @@
 
 from endive_ctl.files import FileError
 
-LINE = re.compile(
+LOG_LINE_PATTERN = re.compile(
     r"(?:(?P<node>\S+) )?[IWEF]\d{4} (?P<hours>\d\d):(?P<minutes>\d\d):"
     r"(?P<seconds>\d\d\.\d+) +\d+ \S+\] (?P<event>event=.*)"
 )
-PAIR = re.compile(r'(\w+)=("[^"]*"|\S+)')
+FIELD_PATTERN = re.compile(r'(\w+)=("[^"]*"|\S+)')
 DAY_S = 86_400.0
 
 
@@ -54,8 +54,8 @@
     if not found:
         raise FileError("no line with event=... in these files")
     # Half a day either side of the first line read, so that logs may span midnight.
-    middle = found[0].at
-    times = [(line.at - middle + DAY_S / 2) % DAY_S for line in found]
+    reference = found[0].at
+    times = [(line.at - reference + DAY_S / 2) % DAY_S for line in found]
     start = min(times)
     lines = [
         replace(line, at=at - start) for line, at in zip(found, times, strict=True)
@@ -68,8 +68,11 @@
         text = Path(path).read_text(encoding="utf-8", errors="replace")
     except OSError as error:
         raise FileError(f"{path}: {error.strerror}") from None
-    for match in LINE.finditer(text):
-        pairs = {key: value.strip('"') for key, value in PAIR.findall(match["event"])}
+    for match in LOG_LINE_PATTERN.finditer(text):
+        pairs = {
+            key: value.strip('"')
+            for key, value in FIELD_PATTERN.findall(match["event"])
+        }
         clock = int(match["hours"]) * 3600 + int(match["minutes"]) * 60
         at = clock + float(match["seconds"])
         yield LogLine(at, match["node"] or "", pairs.pop("event"), pairs)
--- a/packages/endive_ctl/src/endive_ctl/losses.py
+++ b/packages/endive_ctl/src/endive_ctl/losses.py
@@ -12,19 +12,19 @@
 
 IN_TIME = "in time"
 QUEUED = "late: queued"
-SENT_AGAIN = "late: sent again"
+RETRIED = "late: sent again"
 AT_SERVER = "late: first byte"
 YIELDED = "late: behind others"
 PAUSED = "late: pause"
-NOT_ADMITTED = frozenset({"not_found", "unauthenticated"})
+UNCOUNTED_OUTCOMES = frozenset({"not_found", "unauthenticated"})
 """Outcomes of requests that no configuration allows: nothing is owed to them."""
 
-LEAST_DARK_S = 0.5
+MIN_DARK_S = 0.5
 """Silence before a start that counts as dark, seconds: a busy node logs every few
 milliseconds."""
 
 
-def cause_of(line: LogLine) -> str:
+def loss_cause(line: LogLine) -> str:
     """Return why a request's caller got less than a whole answer in time.
 
     A late answer is put down to the queue only if it would have been in time without.
@@ -36,7 +36,7 @@
     pause_ms = line.number("pause_ms")
     if line.number("target_ms") and over_ms > 0:
         if "," in line.fields.get("servers", ""):
-            return SENT_AGAIN
+            return RETRIED
         if line.number("queued_ms") >= over_ms:
             return QUEUED
         return YIELDED if line.number("yielded") else AT_SERVER
@@ -46,7 +46,7 @@
 
 
 @dataclass
-class Losses:
+class LossReport:
     """What a log says of the callers' losses and of what serving cost.
 
     Attributes
@@ -70,34 +70,34 @@
     uncached_tokens: float = 0.0
 
     @classmethod
-    def from_lines(cls, lines: Iterable[LogLine], every_s: float = 2.0) -> "Losses":
+    def from_lines(cls, lines: Iterable[LogLine], every_s: float = 2.0) -> "LossReport":
         """Return the losses in `lines`, which are in order of time."""
-        losses = cls(every_s)
-        heard_at: dict[str, float] = {}
-        orders = OrderedServers(losses.servers_s)
+        report = cls(every_s)
+        last_line_at: dict[str, float] = {}
+        orders = OrderedServers(report.servers_s)
         at = 0.0
         for line in lines:
             at = line.at
             if line.event == "request":
-                losses.add_request(line)
+                report.add_request(line)
             elif line.event == "start":
-                silent_s = at - heard_at.get(line.node, at)
-                if silent_s >= LEAST_DARK_S:
-                    losses.dark_s[line.node] += silent_s
+                silent_s = at - last_line_at.get(line.node, at)
+                if silent_s >= MIN_DARK_S:
+                    report.dark_s[line.node] += silent_s
             elif line.event == "ordered":
-                orders.take(line)
-            heard_at[line.node] = at
+                orders.add_order(line)
+            last_line_at[line.node] = at
         orders.count_until(at)
-        return losses
+        return report
 
     def add_request(self, line: LogLine) -> None:
         """Count one request."""
-        cause = cause_of(line)
-        if cause in NOT_ADMITTED:
+        cause = loss_cause(line)
+        if cause in UNCOUNTED_OUTCOMES:
             return
-        began_at = max(0.0, line.at - line.number("ms") / 1000)
+        started_at = max(0.0, line.at - line.number("ms") / 1000)
         self.by_route[line.fields.get("route", "")][cause] += 1
-        self.by_time[began_at // self.every_s * self.every_s][cause] += 1
+        self.by_time[started_at // self.every_s * self.every_s][cause] += 1
         self.prompt_tokens += line.number("prompt")
         self.uncached_tokens += line.number("uncached")
 
@@ -133,7 +133,7 @@
         self.totals = totals
         self.ordered: dict[tuple[str, str, str], tuple[float, float]] = {}
 
-    def take(self, line: LogLine) -> None:
+    def add_order(self, line: LogLine) -> None:
         """Take in an order, which replaces the one before of its zone and kind."""
         kind = "reclaimable" if line.fields.get("reclaimable") == "True" else "kept"
         key = (line.fields.get("service", ""), kind, line.fields.get("zone", ""))
--- a/packages/endive_ctl/src/endive_ctl/tables.py
+++ b/packages/endive_ctl/src/endive_ctl/tables.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable, Sequence
 
 from endive_ctl.loglines import LogLine
-from endive_ctl.losses import Losses
+from endive_ctl.losses import LossReport
 
-GAP = "  "
+COLUMN_SEPARATOR = "  "
 NO_VALUE = "-"
 
 
@@ -16,7 +16,9 @@
     cells = [list(head), *([str(cell) for cell in row] for row in rows)]
     widths = [max(len(row[i]) for row in cells) for i in range(len(head))]
     lines = (
-        GAP.join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
+        COLUMN_SEPARATOR.join(
+            cell.ljust(width) for cell, width in zip(row, widths, strict=True)
+        )
         for row in cells
     )
     return "\n".join(line.rstrip() for line in lines)
@@ -49,24 +51,24 @@
     )
 
 
-def status(answer: dict) -> str:
+def status(response: dict) -> str:
     """Return the state of a node as a page."""
-    configuration = answer["configuration"]
+    configuration = response["configuration"]
     age = configuration["log_read_s_ago"]
     parts = [
-        f"node {answer['node']} in {answer['zone']}: "
-        + ("ready" if answer["ready"] else "not ready")
-        + (", stopping" if answer["stopping"] else ""),
+        f"node {response['node']} in {response['zone']}: "
+        + ("ready" if response["ready"] else "not ready")
+        + (", stopping" if response["stopping"] else ""),
         f"configuration version {configuration['version']}, log read "
         + (NO_VALUE if age is None else f"{age:.1f} s ago"),
-        f"requests in flight: {answer['in_flight']}",
+        f"requests in flight: {response['in_flight']}",
         "",
-        _nodes(answer["nodes"], configuration["version"]),
+        _nodes(response["nodes"], configuration["version"]),
         "",
-        _servers(answer["servers"]),
+        _servers(response["servers"]),
     ]
     for title in ("zones_under_notice", "queues", "refusals", "retries"):
-        parts += _section(title, answer.get(title))
+        parts += _section(title, response.get(title))
     return "\n".join(parts)
 
 
@@ -104,36 +106,36 @@
     return ["", f"{head}: {', '.join(map(str, value))}"]
 
 
-def explanation(answer: dict) -> str:
+def explanation(response: dict) -> str:
     """Return what became of a request, an event a line."""
     lines = [
-        f"request {answer['request_id']} of {answer['organisation']}: "
-        f"{answer['state']}, executed: {answer['executed']}",
+        f"request {response['request_id']} of {response['organisation']}: "
+        f"{response['state']}, executed: {response['executed']}",
     ]
-    lines += [f"{note['after_s']:9.3f} s  {note['text']}" for note in answer["notes"]]
+    lines += [f"{note['after_s']:9.3f} s  {note['text']}" for note in response["notes"]]
     return "\n".join(lines)
 
 
-def losses(found: Losses) -> str:
+def losses(report: LossReport) -> str:
     """Return where callers lost, by route and by time, and what serving cost."""
-    causes = found.causes()
+    causes = report.causes()
 
     def rows(groups) -> list[tuple]:
         return [(name, *(c[cause] for cause in causes)) for name, c in groups]
 
-    total = sum(found.by_route.values(), Counter())
-    by_route = [*sorted(found.by_route.items()), ("all", total)]
-    by_time = [(f"{at:.0f} s", c) for at, c in sorted(found.by_time.items())]
-    servers = [(*key, round(s)) for key, s in sorted(found.servers_s.items())]
-    dark = [(node, f"{s:.2f}") for node, s in sorted(found.dark_s.items())]
+    total = sum(report.by_route.values(), Counter())
+    by_route = [*sorted(report.by_route.items()), ("all", total)]
+    by_time = [(f"{at:.0f} s", c) for at, c in sorted(report.by_time.items())]
+    servers = [(*key, round(s)) for key, s in sorted(report.servers_s.items())]
+    dark = [(node, f"{s:.2f}") for node, s in sorted(report.dark_s.items())]
     return "\n\n".join(
         (
             table(("ROUTE", *causes), rows(by_route)),
             table(("FROM", *causes), rows(by_time)),
             table(("SERVICE", "KIND", "SERVER SECONDS ORDERED"), servers),
             table(("NODE", "DARK SECONDS"), dark),
-            f"prompt tokens sent {found.prompt_tokens:.0f}, "
-            f"expected to be computed {found.uncached_tokens:.0f}",
+            f"prompt tokens sent {report.prompt_tokens:.0f}, "
+            f"expected to be computed {report.uncached_tokens:.0f}",
         )
     )
 
--- a/packages/endive_ctl/tests/test_losses.py
+++ b/packages/endive_ctl/tests/test_losses.py
@@ -1,14 +1,14 @@
 import pytest
 from endive_ctl import tables
 from endive_ctl.loglines import read_lines
-from endive_ctl.losses import Losses, cause_of
+from endive_ctl.losses import LossReport, loss_cause
 from log_builders import log_line, request_line
 
 
 def losses_of(tmp_path, *lines, **options):
     path = tmp_path / "log"
     path.write_text("".join(lines))
-    return Losses.from_lines(read_lines([path]), **options)
+    return LossReport.from_lines(read_lines([path]), **options)
 
 
 @pytest.mark.parametrize(
@@ -28,7 +28,7 @@
     path = tmp_path / "log"
     path.write_text(request_line(**fields))
     (line,) = read_lines([path])
-    assert cause_of(line) == cause
+    assert loss_cause(line) == cause
 
 
 def test_all_requests_add_up_in_both_tables(tmp_path):
