--- a/packages/endive_standins/src/endive_standins/batching.py
+++ b/packages/endive_standins/src/endive_standins/batching.py
@@ -17,35 +17,39 @@
 # Tokens due within a step are made at once. Without it a fast engine would sleep for
 # each token, and the timer's resolution would set its rate.
 STEP_S = 0.002
-TOKEN_CHARACTERS = 4
+CHARACTERS_PER_TOKEN = 4
 
 
-def prompt_tokens(prompt: str) -> list[str]:
+def split_prompt(prompt: str) -> list[str]:
     """Split a prompt into what counts as its tokens."""
-    starts = range(0, len(prompt), TOKEN_CHARACTERS)
-    return [prompt[start : start + TOKEN_CHARACTERS] for start in starts]
+    starts = range(0, len(prompt), CHARACTERS_PER_TOKEN)
+    return [prompt[start : start + CHARACTERS_PER_TOKEN] for start in starts]
 
 
-def answer_token(prompt: str, index: int) -> str:
+def completion_token(prompt: str, index: int) -> str:
     """Return a token of the one right answer to a prompt."""
     return xxhash.xxh3_64_hexdigest(f"{prompt}\0{index}".encode())[:6] + " "
 
 
-class WorkClock:
+class ScaledClock:
     """Time that passes at the speed of the engine's work."""
 
     def __init__(self) -> None:
         self.speed = 1.0
-        self.at = 0.0
-        self.since = time.monotonic()
+        self.elapsed_s = 0.0
+        self.updated_at = time.monotonic()
 
     def now(self) -> float:
         """Return the seconds of full-speed work that were possible so far."""
-        return self.at + (time.monotonic() - self.since) * self.speed
+        return self.elapsed_s + (time.monotonic() - self.updated_at) * self.speed
 
     def set_speed(self, speed: float) -> None:
         """Let the work go on at another speed; 0 stops it."""
-        self.at, self.since, self.speed = self.now(), time.monotonic(), speed
+        self.elapsed_s, self.updated_at, self.speed = (
+            self.now(),
+            time.monotonic(),
+            speed,
+        )
 
 
 class KvBlob(msgspec.Struct):
@@ -68,7 +72,7 @@
     priority: int = 0
     tokens: list[str] = field(default_factory=list)
     kv: KvBlob | None = None
-    covered: int = 0
+    reused_tokens: int = 0
     started_at: float | None = None
     prefill_end: float | None = None
     prefilled: bool = False
@@ -77,8 +81,8 @@
     changed: Event = field(default_factory=Event)
 
     def __post_init__(self) -> None:
-        self.resumed = len(self.tokens)
-        self.prompt_tokens = prompt_tokens(self.prompt)
+        self.resumed_length = len(self.tokens)
+        self.prompt_tokens = split_prompt(self.prompt)
 
     def rank(self) -> tuple[int, int]:
         """Return the place among waiting sequences, lowest first."""
@@ -88,7 +92,7 @@
         """Return all tokens whose KV cache the sequence needs."""
         return self.prompt_tokens + self.tokens
 
-    def imported(self) -> int:
+    def imported_length(self) -> int:
         """Return how many leading tokens an imported KV cache covers."""
         if self.kv is None or self.kv.prompt != self.prompt:
             return 0
@@ -121,7 +125,7 @@
     """
 
     def __init__(
-        self, settings: Any, cache: PrefixCache, clock: WorkClock, on_start: Callable
+        self, settings: Any, cache: PrefixCache, clock: ScaledClock, on_start: Callable
     ) -> None:
         self.settings = settings
         self.cache = cache
@@ -192,8 +196,10 @@
 
     def _begin_prefill(self, sequence: Sequence) -> None:
         context = sequence.context()
-        sequence.covered = max(self.cache.covered(context), sequence.imported())
-        uncached = len(context) - sequence.covered
+        sequence.reused_tokens = max(
+            self.cache.cached_prefix_length(context), sequence.imported_length()
+        )
+        uncached = len(context) - sequence.reused_tokens
         begin = max(sequence.started_at, self.prefill_free_at)
         sequence.prefill_end = begin + uncached / self.settings.prefill_tokens_per_s
 
@@ -201,11 +207,11 @@
         self.prefill_free_at = sequence.next_token_at = sequence.prefill_end
         sequence.prefilled = True
         context = sequence.context()
-        size, covered = len(context), sequence.covered
+        size, reused_tokens = len(context), sequence.reused_tokens
         first_time = 0 if sequence.attempt > 0 else len(sequence.prompt_tokens)
-        self.counts.computed_tokens += size - covered
-        self.counts.recomputed_tokens += size - max(covered, first_time)
-        self.counts.cached_tokens += covered
+        self.counts.computed_tokens += size - reused_tokens
+        self.counts.recomputed_tokens += size - max(reused_tokens, first_time)
+        self.counts.cached_tokens += reused_tokens
         self.cache.store(context)
         heappush(self.decoding, (sequence.prefill_end, sequence.serial, sequence))
 
@@ -215,7 +221,7 @@
             _, serial, sequence = heappop(self.decoding)
             if sequence.finish_reason is not None:
                 continue
-            self._make_tokens(sequence, horizon)
+            self._generate_tokens(sequence, horizon)
             if len(sequence.tokens) >= sequence.max_tokens:
                 self.end(sequence, "length")
                 freed = True
@@ -223,10 +229,10 @@
                 heappush(self.decoding, (sequence.next_token_at, serial, sequence))
         return freed
 
-    def _make_tokens(self, sequence: Sequence, horizon: float) -> None:
+    def _generate_tokens(self, sequence: Sequence, horizon: float) -> None:
         before = made = len(sequence.tokens)
         while made < sequence.max_tokens and sequence.next_token_at <= horizon:
-            sequence.tokens.append(answer_token(sequence.prompt, made))
+            sequence.tokens.append(completion_token(sequence.prompt, made))
             sequence.next_token_at += 1 / self.settings.decode_tokens_per_s
             made += 1
         self.counts.decoded_tokens += made - before
--- a/packages/endive_standins/src/endive_standins/cloud.py
+++ b/packages/endive_standins/src/endive_standins/cloud.py
@@ -11,7 +11,7 @@
 from endive_standins import serving
 
 
-class Launch(msgspec.Struct):
+class LaunchRequest(msgspec.Struct):
     """The body of a call for an instance."""
 
     client_token: str
@@ -22,7 +22,7 @@
     tags: list[str] = []
 
 
-class Reclaim(msgspec.Struct):
+class ReclaimOrder(msgspec.Struct):
     """The body of an order to reclaim an instance, or what is reclaimable in a zone."""
 
     seconds: float
@@ -36,7 +36,7 @@
     zone: str | None = None
     machine_class: str | None = None
 
-    def holds(self, launch: Launch) -> bool:
+    def matches(self, launch: LaunchRequest) -> bool:
         """Return whether an instance would come from this pool."""
         zone_fits = self.zone in (None, launch.zone)
         return zone_fits and self.machine_class in (None, launch.machine_class)
@@ -65,99 +65,110 @@
 
     def __init__(self, settings: CloudSettings) -> None:
         super().__init__(settings)
-        self.prices = draw_prices(settings)
-        self.instances: dict[str, Launch] = {}
-        self.tokens: dict[str, str] = {}
-        self.numbers = count(1)
-        self.reclaims: list[tuple[float, Reclaim]] = []
-        self.refused: list[Pool] = []
+        self.prices = generate_prices(settings)
+        self.instances: dict[str, LaunchRequest] = {}
+        self.instances_by_token: dict[str, str] = {}
+        self.serials = count(1)
+        self.reclaims: list[tuple[float, ReclaimOrder]] = []
+        self.refused_pools: list[Pool] = []
         self.route("GET", "/prices", lambda: {"prices": self.prices})
-        self.route("POST", "/instances", self.post_instances, Launch)
+        self.route("POST", "/instances", self.post_instances, LaunchRequest)
         self.route("GET", "/instances", self.get_instances)
         self.route("DELETE", "/instances/<id>", self.delete_instance)
         self.route("GET", "/notices", self.get_notices)
-        self.route("POST", "/notices", self.post_notices, Reclaim)
+        self.route("POST", "/notices", self.post_notices, ReclaimOrder)
 
     def is_work(self, method: str, path: str) -> bool:
         """Return whether the call changes what instances there are."""
         return method != "GET" and path != "/notices"
 
-    def ordered(self, given: dict[str, Any]) -> None:
+    def apply_faults(self, given: dict[str, Any]) -> None:
         """Let the ordered faults begin."""
-        super().ordered(given)
+        super().apply_faults(given)
         if "refuse" in given:
             pool = self.faults.refuse
-            self.refused = [*self.refused, pool] if pool else []
+            self.refused_pools = [*self.refused_pools, pool] if pool else []
 
-    def post_instances(self, launch: Launch) -> Any:
+    def post_instances(self, launch: LaunchRequest) -> Any:
         """Launch an instance, or name the one that its client token launched."""
-        known = self.tokens.get(launch.client_token)
-        if known is None and any(pool.holds(launch) for pool in self.refused):
-            return serving.failure(409, "no_capacity")
-        if known is None:
-            known = self.tokens[launch.client_token] = f"i-{next(self.numbers)}"
-            self.instances[known] = launch
-        return {"id": known}
+        instance_id = self.instances_by_token.get(launch.client_token)
+        if instance_id is None and any(
+            pool.matches(launch) for pool in self.refused_pools
+        ):
+            return serving.error_response(409, "no_capacity")
+        if instance_id is None:
+            instance_id = self.instances_by_token[launch.client_token] = (
+                f"i-{next(self.serials)}"
+            )
+            self.instances[instance_id] = launch
+        return {"id": instance_id}
 
     def get_instances(self) -> dict[str, Any]:
         """List the instances, or those with a tag."""
-        tag = serving.query("tag", str, "")
-        self.finish_reclaims()
-        kept = {i: e for i, e in self.instances.items() if not tag or tag in e.tags}
-        listed = [{"id": i, **msgspec.structs.asdict(e)} for i, e in kept.items()]
+        tag = serving.query_parameter("tag", str, "")
+        self.terminate_reclaimed()
+        matching = {i: e for i, e in self.instances.items() if not tag or tag in e.tags}
+        listed = [{"id": i, **msgspec.structs.asdict(e)} for i, e in matching.items()]
         return {"instances": listed}
 
     def delete_instance(self, id: str) -> Any:
         """End an instance."""
         if self.instances.pop(id, None) is None:
-            return serving.failure(404, "unknown_instance")
+            return serving.error_response(404, "unknown_instance")
         return {"id": id}
 
-    def post_notices(self, reclaim: Reclaim) -> dict[str, Any]:
+    def post_notices(self, reclaim: ReclaimOrder) -> dict[str, Any]:
         """Reclaim an instance or a zone after a notice."""
         self.reclaims.append((time.monotonic() + reclaim.seconds, reclaim))
         return {"seconds_left": reclaim.seconds}
 
     def get_notices(self) -> dict[str, Any]:
         """List the reclaims under way."""
-        self.finish_reclaims()
+        self.terminate_reclaimed()
         now = time.monotonic()
         notices = []
         for deadline, reclaim in self.reclaims:
-            targets = [(i, self.instances[i].zone) for i in self.targets(reclaim)]
+            targets = [
+                (i, self.instances[i].zone) for i in self.reclaimed_instances(reclaim)
+            ]
             if reclaim.instance not in self.instances:
                 targets.append((reclaim.instance, reclaim.zone))
-            left_s = deadline - now
+            remaining_s = deadline - now
             notices += [
-                {"instance": i, "zone": zone, "seconds_left": left_s}
+                {"instance": i, "zone": zone, "seconds_left": remaining_s}
                 for i, zone in targets
             ]
         return {"notices": notices}
 
-    def targets(self, reclaim: Reclaim) -> list[str]:
+    def reclaimed_instances(self, reclaim: ReclaimOrder) -> list[str]:
         """Return the instances that a reclaim takes."""
         if reclaim.instance is not None:
             return [i for i in self.instances if i == reclaim.instance]
         entries = self.instances.items()
         return [i for i, e in entries if e.reclaimable and e.zone == reclaim.zone]
 
-    def finish_reclaims(self) -> None:
+    def terminate_reclaimed(self) -> None:
         """End the instances whose notice has run out."""
         now = time.monotonic()
         for deadline, reclaim in self.reclaims:
-            for instance in self.targets(reclaim) if deadline <= now else []:
+            for instance in (
+                self.reclaimed_instances(reclaim) if deadline <= now else []
+            ):
                 del self.instances[instance]
         self.reclaims = [entry for entry in self.reclaims if entry[0] > now]
 
 
-def draw_prices(settings: CloudSettings) -> list[dict[str, Any]]:
+def generate_prices(settings: CloudSettings) -> list[dict[str, Any]]:
     """Return a price for each pool; reclaimable machines are cheaper."""
-    chance = random.Random(settings.seed)
+    rng = random.Random(settings.seed)
     prices = []
     for zone, machine_class in product(settings.zones, settings.machine_classes):
-        full = round(chance.uniform(1.0, 3.0), 3)
-        share = chance.uniform(0.2, 0.5)
-        for reclaimable, price in ((False, full), (True, round(full * share, 3))):
+        full_price = round(rng.uniform(1.0, 3.0), 3)
+        price_factor = rng.uniform(0.2, 0.5)
+        for reclaimable, price in (
+            (False, full_price),
+            (True, round(full_price * price_factor, 3)),
+        ):
             pool = {"zone": zone, "machine_class": machine_class}
             prices.append({**pool, "reclaimable": reclaimable, "price": price})
     return prices
--- a/packages/endive_standins/src/endive_standins/engine.py
+++ b/packages/endive_standins/src/endive_standins/engine.py
@@ -13,11 +13,11 @@
 from gevent.event import Event
 
 from endive_standins import serving
-from endive_standins.answers import EventWriter, Garble, whole
-from endive_standins.batching import Batch, KvBlob, Sequence, WorkClock
+from endive_standins.batching import Batch, KvBlob, ScaledClock, Sequence
 from endive_standins.prefixes import CacheEvents, PrefixCache
+from endive_standins.responses import EventWriter, StreamCorruption, completion_body
 
-KNOWN_SEQUENCES = 4096
+MAX_RETAINED_SEQUENCES = 4096
 DISCONNECT_CHECK_S = 0.1
 
 
@@ -33,7 +33,7 @@
     tokens: list[str] = []
 
 
-class Call(msgspec.Struct):
+class CompletionRequest(msgspec.Struct):
     """The body of a call for a completion."""
 
     model: str = ""
@@ -48,19 +48,19 @@
     kv_handle: str | None = None
 
 
-class RequestName(msgspec.Struct):
+class RequestReference(msgspec.Struct):
     """The body of an order about one request."""
 
     request_id: str
 
 
-class Import(msgspec.Struct):
+class KvImport(msgspec.Struct):
     """The body of an import of a KV cache."""
 
     blob: KvBlob
 
 
-class Desired(msgspec.Struct):
+class DesiredState(msgspec.Struct):
     """What an engine is told to serve."""
 
     model: str = ""
@@ -74,7 +74,7 @@
 
     order_id: str
     fence: int
-    desired: Desired
+    desired: DesiredState
 
 
 class EngineFaults(serving.Faults):
@@ -83,7 +83,7 @@
     crash_on: str = ""
     slow_factor: float = 1.0
     drop_after: int | None = None
-    garble: Garble | None = None
+    garble: StreamCorruption | None = None
 
 
 @dataclass
@@ -113,7 +113,7 @@
         self.engine = engine
         self.sequence = sequence
         self.environ = environ
-        self.sent = sequence.resumed
+        self.sent = sequence.resumed_length
         self.ended = False
         self.writer = EventWriter(sequence, chat, engine.faults.garble)
         drop_after, engine.faults.drop_after = engine.faults.drop_after, None
@@ -127,15 +127,15 @@
             raise StopIteration
         if self.sent == self.limit:
             self.close()
-            raise serving.connection_lost()
-        self.engine.wait(self.sequence, self.sent, self.environ)
-        return self._take().encode()
+            raise serving.connection_closed_error()
+        self.engine.wait_for_tokens(self.sequence, self.sent, self.environ)
+        return self._next_events().encode()
 
     def close(self) -> None:
         """End the sequence if it still runs."""
-        self.engine.stop_sequence(self.sequence)
+        self.engine.cancel_sequence(self.sequence)
 
-    def _take(self) -> str:
+    def _next_events(self) -> str:
         texts = self.sequence.tokens[self.sent : self.limit]
         at_end = self.sent + len(texts) == len(self.sequence.tokens)
         self.ended = at_end and self.sequence.finish_reason is not None
@@ -154,13 +154,13 @@
 
     def __init__(self, settings: EngineSettings) -> None:
         super().__init__(settings)
-        lag_s, gap = settings.event_lag_s, settings.event_gap
-        self.events = CacheEvents(lag_s, gap, settings.seed)
+        lag_s, loss_probability = settings.event_lag_s, settings.event_gap
+        self.events = CacheEvents(lag_s, loss_probability, settings.seed)
         blocks, block_tokens = settings.cache_blocks, settings.block_tokens
         self.cache = PrefixCache(blocks, block_tokens, self.events.add)
-        self.clock = WorkClock()
-        self.batch = Batch(settings, self.cache, self.clock, self.started)
-        self.load = serving.Delayed(settings.report_lag_s, (0, 0, 0))
+        self.clock = ScaledClock()
+        self.batch = Batch(settings, self.cache, self.clock, self.on_sequence_start)
+        self.load = serving.DelayedValue(settings.report_lag_s, (0, 0, 0))
         self.numbers = count()
         self.sequences: OrderedDict[str, Sequence] = OrderedDict()
         self.imports: dict[str, KvBlob] = {}
@@ -171,11 +171,16 @@
         self._route()
 
     def _route(self) -> None:
-        self.route("POST", "/v1/completions", self.post_completions, Call)
-        self.route("POST", "/v1/chat/completions", self.post_chat_completions, Call)
-        self.route("POST", "/cancel", self.post_cancel, RequestName)
-        self.route("POST", "/kv/export", self.post_export, RequestName)
-        self.route("POST", "/kv/import", self.post_import, Import)
+        self.route("POST", "/v1/completions", self.post_completions, CompletionRequest)
+        self.route(
+            "POST",
+            "/v1/chat/completions",
+            self.post_chat_completions,
+            CompletionRequest,
+        )
+        self.route("POST", "/cancel", self.post_cancel, RequestReference)
+        self.route("POST", "/kv/export", self.post_export, RequestReference)
+        self.route("POST", "/kv/import", self.post_import, KvImport)
         self.route("GET", "/load", self.get_load)
         self.route("GET", "/cache/events", self.get_events)
         self.route("POST", "/orders", self.post_orders, Order)
@@ -196,16 +201,16 @@
             self.wake.clear()
             if self.clock.speed:
                 self.batch.step()
-                self.note_load()
-            self.wake.wait(self._pause_s())
+                self.record_load()
+            self.wake.wait(self._seconds_until_due())
 
-    def _pause_s(self) -> float | None:
+    def _seconds_until_due(self) -> float | None:
         due = self.batch.next_due()
         if due is None or not self.clock.speed:
             return None
         return max(0.0, due - self.clock.now()) / self.clock.speed
 
-    def note_load(self) -> None:
+    def record_load(self) -> None:
         """Keep the load for a later report."""
         running, waiting = len(self.batch.running), len(self.batch.waiting)
         self.load.set((running, waiting, len(self.cache.blocks)))
@@ -214,9 +219,9 @@
         """Return whether the call asks for a completion."""
         return path.startswith("/v1/")
 
-    def ordered(self, given: dict[str, Any]) -> None:
+    def apply_faults(self, given: dict[str, Any]) -> None:
         """Let the ordered faults begin."""
-        super().ordered(given)
+        super().apply_faults(given)
         self.set_speed()
 
     def set_speed(self) -> None:
@@ -227,56 +232,60 @@
         self.clock.set_speed(0.0 if frozen_s > 0 else 1 / self.faults.slow_factor)
         self.wake.set()
 
-    def started(self, sequence: Sequence) -> None:
+    def on_sequence_start(self, sequence: Sequence) -> None:
         """Note that a sequence starts to run, or crash on it."""
         self.executions[sequence.request_id] += 1
         if self.faults.crash_on and self.faults.crash_on in sequence.prompt:
             self.crash()
 
-    def wait(self, sequence: Sequence, seen: int, environ: dict[str, Any]) -> None:
+    def wait_for_tokens(
+        self, sequence: Sequence, seen: int, environ: dict[str, Any]
+    ) -> None:
         """Wait for more than the tokens seen, or for the end of a sequence."""
         while len(sequence.tokens) == seen and sequence.finish_reason is None:
             sequence.changed.clear()
             sequence.changed.wait(DISCONNECT_CHECK_S)
             # Its client is gone: a sequence that goes on takes a place in the batch
             # and nobody reads its tokens.
-            if serving.disconnected(environ):
-                self.stop_sequence(sequence)
-                raise serving.connection_lost()
+            if serving.client_disconnected(environ):
+                self.cancel_sequence(sequence)
+                raise serving.connection_closed_error()
 
-    def stop_sequence(self, sequence: Sequence) -> None:
+    def cancel_sequence(self, sequence: Sequence) -> None:
         """End a sequence before its answer is whole."""
         self.batch.end(sequence, "cancelled")
-        self.note_load()
+        self.record_load()
         self.wake.set()
 
-    def post_completions(self, call: Call) -> HTTPResponse:
+    def post_completions(self, call: CompletionRequest) -> HTTPResponse:
         """Complete a prompt."""
         return self.complete(call, call.prompt, chat=False)
 
-    def post_chat_completions(self, call: Call) -> HTTPResponse:
+    def post_chat_completions(self, call: CompletionRequest) -> HTTPResponse:
         """Answer a chat."""
         prompt = "\n".join(message.content for message in call.messages)
         return self.complete(call, prompt, chat=True)
 
-    def complete(self, call: Call, prompt: str, chat: bool) -> HTTPResponse:
+    def complete(
+        self, call: CompletionRequest, prompt: str, chat: bool
+    ) -> HTTPResponse:
         """Run a call, or refuse it before it starts."""
         environ = request.environ
         sequence = self.new_sequence(call, prompt)
         self.batch.add(sequence)
-        self.note_load()
+        self.record_load()
         self.wake.set()
-        self.wait(sequence, sequence.resumed, environ)
+        self.wait_for_tokens(sequence, sequence.resumed_length, environ)
         if sequence.started_at is None:
-            return serving.not_run(sequence.finish_reason)
+            return serving.not_executed_response(sequence.finish_reason)
         if call.stream:
             stream = EventStream(self, sequence, chat, environ)
             return HTTPResponse(stream, 200, {"Content-Type": "text/event-stream"})
         while sequence.finish_reason is None:
-            self.wait(sequence, len(sequence.tokens), environ)
-        return serving.answer(whole(sequence, chat, call.model))
+            self.wait_for_tokens(sequence, len(sequence.tokens), environ)
+        return serving.json_response(completion_body(sequence, chat, call.model))
 
-    def new_sequence(self, call: Call, prompt: str) -> Sequence:
+    def new_sequence(self, call: CompletionRequest, prompt: str) -> Sequence:
         """Build the sequence of a call."""
         number = next(self.numbers)
         request_id = call.request_id or f"{self.settings.id}-{number}"
@@ -293,32 +302,32 @@
         )
         self.sequences[request_id] = sequence
         self.sequences.move_to_end(request_id)
-        if len(self.sequences) > KNOWN_SEQUENCES:
+        if len(self.sequences) > MAX_RETAINED_SEQUENCES:
             self.sequences.popitem(last=False)
         return sequence
 
-    def stop_request(self, request_id: str) -> Sequence | None:
+    def cancel_request(self, request_id: str) -> Sequence | None:
         """End every attempt at a request; return the last one."""
         for sequence in [*self.batch.running, *self.batch.waiting]:
             if sequence.request_id == request_id:
-                self.stop_sequence(sequence)
+                self.cancel_sequence(sequence)
         return self.sequences.get(request_id)
 
-    def post_cancel(self, name: RequestName) -> dict[str, Any]:
+    def post_cancel(self, name: RequestReference) -> dict[str, Any]:
         """Cancel a request."""
-        sequence = self.stop_request(name.request_id)
+        sequence = self.cancel_request(name.request_id)
         if sequence is None:
             return {"stopped": False, "known": False}
         return {"stopped": True, "known": True, "tokens": sequence.tokens}
 
-    def post_export(self, name: RequestName) -> Any:
+    def post_export(self, name: RequestReference) -> Any:
         """Stop a sequence and hand out its KV cache."""
-        sequence = self.stop_request(name.request_id)
+        sequence = self.cancel_request(name.request_id)
         if sequence is None:
-            return serving.failure(404, "unknown_request")
+            return serving.error_response(404, "unknown_request")
         return {"tokens": sequence.tokens, "blob": sequence.export()}
 
-    def post_import(self, order: Import) -> dict[str, Any]:
+    def post_import(self, order: KvImport) -> dict[str, Any]:
         """Take a KV cache in."""
         handle = f"kv-{next(self.numbers)}"
         self.imports[handle] = order.blob
@@ -337,13 +346,13 @@
 
     def get_events(self) -> dict[str, Any]:
         """Report what entered and left the prefix cache."""
-        return self.events.view(serving.query("from", int, 0))
+        return self.events.read(serving.query_parameter("from", int, 0))
 
     def post_orders(self, order: Order) -> Any:
         """Take an order, unless its fence is old and the engine checks it."""
         highest = self.state["fence"]
         if self.settings.checks_fencing and order.fence < highest:
-            return serving.failure(409, "stale_fence", fence=highest)
+            return serving.error_response(409, "stale_fence", fence=highest)
         self.state = {"desired": order.desired, "fence": order.fence}
         return {"applied": True}
 
--- a/packages/endive_standins/src/endive_standins/instances.py
+++ b/packages/endive_standins/src/endive_standins/instances.py
@@ -31,26 +31,26 @@
 
     def __init__(self, settings: InstancesSettings) -> None:
         super().__init__(settings)
-        self.truth: dict[str, Entry] = {}
-        self.seen = serving.Delayed(settings.lag_s, [])
-        self.route("GET", "/instances", lambda: {"instances": self.seen.get()})
+        self.actual: dict[str, Entry] = {}
+        self.reported = serving.DelayedValue(settings.lag_s, [])
+        self.route("GET", "/instances", lambda: {"instances": self.reported.get()})
         self.route("PUT", "/instances/<id>", self.put_instance, Entry)
         self.route("DELETE", "/instances/<id>", self.delete_instance)
 
     def put_instance(self, entry: Entry, id: str) -> dict[str, Any]:
         """Set the truth about an instance."""
-        self.truth[id] = entry
-        return self.changed(id)
+        self.actual[id] = entry
+        return self.publish(id)
 
     def delete_instance(self, id: str) -> dict[str, Any]:
         """Take an instance off the list."""
-        self.truth.pop(id, None)
-        return self.changed(id)
+        self.actual.pop(id, None)
+        return self.publish(id)
 
-    def changed(self, id: str) -> dict[str, Any]:
+    def publish(self, id: str) -> dict[str, Any]:
         """Let the list follow the truth."""
-        entries = self.truth.items()
-        self.seen.set([{"id": i, **msgspec.structs.asdict(e)} for i, e in entries])
+        entries = self.actual.items()
+        self.reported.set([{"id": i, **msgspec.structs.asdict(e)} for i, e in entries])
         return {"id": id}
 
 
--- a/packages/endive_standins/src/endive_standins/log.py
+++ b/packages/endive_standins/src/endive_standins/log.py
@@ -21,14 +21,14 @@
     records: Annotated[list[str], msgspec.Meta(min_length=1)]
 
 
-class LateAppends(msgspec.Struct):
+class DelayedAppends(msgspec.Struct):
     """Appends to come that answer 504 and take effect later."""
 
     count: int
     delay_s: float
 
 
-class ForgetBefore(msgspec.Struct):
+class Truncation(msgspec.Struct):
     """Retention of one stream, at once."""
 
     stream: str
@@ -38,8 +38,8 @@
 class LogFaults(serving.Faults):
     """The log's faults."""
 
-    late_appends: LateAppends | None = None
-    forget_before: ForgetBefore | None = None
+    late_appends: DelayedAppends | None = None
+    forget_before: Truncation | None = None
 
 
 @dataclass
@@ -68,23 +68,23 @@
         start, now = self.next, time.time()
         for offset, body in enumerate(bodies, start):
             self.records.append({"offset": offset, "time": now, "body": body})
-        self.wake()
+        self.wake_readers()
         return start
 
-    def wake(self) -> None:
+    def wake_readers(self) -> None:
         """Let every reader that waits look again."""
         self.changed.set()
         self.changed = Event()
 
-    def forget(self, offset: int, written: float) -> None:
+    def trim(self, offset: int, min_time: float) -> None:
         """Drop the records below an offset or from before a time."""
         while self.records and (
-            self.first < offset or self.records[0]["time"] < written
+            self.first < offset or self.records[0]["time"] < min_time
         ):
             self.records.popleft()
             self.first += 1
 
-    def view(self, start: int, limit: int) -> list[dict[str, Any]]:
+    def read(self, start: int, limit: int) -> list[dict[str, Any]]:
         """Return up to `limit` records from an offset that is kept or to come."""
         stop = min(self.next, start + limit)
         return [self.records[i - self.first] for i in range(start, stop)]
@@ -104,20 +104,20 @@
         self.route("POST", "/streams/<name>/records", self.post_records, Append)
         self.route("GET", "/streams/<name>/records", self.get_records)
 
-    def ordered(self, given: dict[str, Any]) -> None:
+    def apply_faults(self, given: dict[str, Any]) -> None:
         """Let the ordered faults begin; readers that wait meet an outage too."""
-        super().ordered(given)
-        forget = self.faults.forget_before
-        if "forget_before" in given and forget is not None:
-            self.stream(forget.stream).forget(forget.offset, 0.0)
+        super().apply_faults(given)
+        truncation = self.faults.forget_before
+        if "forget_before" in given and truncation is not None:
+            self.stream(truncation.stream).trim(truncation.offset, 0.0)
         for stream in self.streams.values():
-            stream.wake()
+            stream.wake_readers()
 
     def stream(self, name: str) -> Stream:
         """Return a stream without the records that are past retention."""
         stream = self.streams.setdefault(name, Stream())
         if self.settings.retention_s:
-            stream.forget(0, time.time() - self.settings.retention_s)
+            stream.trim(0, time.time() - self.settings.retention_s)
         return stream
 
     def get_streams(self) -> dict[str, Any]:
@@ -130,12 +130,12 @@
         """Append records: all of them or none."""
         wait_s = self.bucket.take()
         if wait_s:
-            return serving.over_rate(wait_s)
+            return serving.rate_limit_response(wait_s)
         late = self.faults.late_appends
         if late is not None and late.count > 0:
             late.count -= 1
             gevent.spawn_later(late.delay_s, self.append, name, append.records)
-            return serving.failure(504, "timeout")
+            return serving.error_response(504, "timeout")
         offset = self.append(name, append.records)
         return {"offset": offset, "next": offset + len(append.records)}
 
@@ -145,23 +145,27 @@
 
     def get_records(self, name: str) -> Any:
         """Read records, waiting for the first of them."""
-        start = serving.query("from", int, 0)
-        limit = serving.query("limit", int, DEFAULT_LIMIT)
-        deadline = time.monotonic() + serving.query("wait_s", float, 0.0)
-        refusal = self.wait(self.stream(name), start, deadline)
+        start = serving.query_parameter("from", int, 0)
+        limit = serving.query_parameter("limit", int, DEFAULT_LIMIT)
+        deadline = time.monotonic() + serving.query_parameter("wait_s", float, 0.0)
+        error = self.wait_for_record(self.stream(name), start, deadline)
         stream = self.stream(name)
-        if refusal is None and start < stream.first:
-            refusal = serving.failure(410, "forgotten", first=stream.first)
-        records = stream.view(max(start, stream.first), limit)
-        seen = {"first": stream.first, "next": stream.next, "records": records}
-        return refusal or seen
-
-    def wait(self, stream: Stream, offset: int, deadline: float) -> HTTPResponse | None:
+        if error is None and start < stream.first:
+            error = serving.error_response(410, "forgotten", first=stream.first)
+        records = stream.read(max(start, stream.first), limit)
+        page = {"first": stream.first, "next": stream.next, "records": records}
+        return error or page
+
+    def wait_for_record(
+        self, stream: Stream, offset: int, deadline: float
+    ) -> HTTPResponse | None:
         """Wait for a record; return the refusal if an outage comes instead."""
-        while stream.next <= offset and (left_s := deadline - time.monotonic()) > 0:
-            stream.changed.wait(left_s)
+        while (
+            stream.next <= offset and (remaining_s := deadline - time.monotonic()) > 0
+        ):
+            stream.changed.wait(remaining_s)
             if self.in_outage():
-                return serving.failure(503, "outage")
+                return serving.error_response(503, "outage")
         return None
 
 
--- a/packages/endive_standins/src/endive_standins/plain.py
+++ b/packages/endive_standins/src/endive_standins/plain.py
@@ -29,7 +29,7 @@
     def __init__(self, settings: PlainSettings) -> None:
         super().__init__(settings)
         self.count = self.running = 0
-        self.load = serving.Delayed(settings.report_lag_s, 0)
+        self.load = serving.DelayedValue(settings.report_lag_s, 0)
         self.executions: Counter[str] = Counter()
         self.route("GET", "/load", self.get_load)
         self.route("GET", "/stats", lambda: {"executions": self.executions})
@@ -42,9 +42,14 @@
 
     def get_load(self) -> dict[str, Any]:
         """Report the load as it was a while ago."""
-        seen = time.time() - self.settings.report_lag_s
+        reported_at = time.time() - self.settings.report_lag_s
         running, capacity = self.load.get(), self.settings.capacity
-        return {"running": running, "waiting": 0, "capacity": capacity, "time": seen}
+        return {
+            "running": running,
+            "waiting": 0,
+            "capacity": capacity,
+            "time": reported_at,
+        }
 
     def run(self, path: str = "") -> dict[str, Any]:
         """Run a call."""
@@ -55,20 +60,20 @@
             "server": self.settings.id,
             "method": request.method,
             "path": request.path,
-            "body": request.environ[serving.BODY].decode(errors="replace"),
+            "body": request.environ[serving.BODY_KEY].decode(errors="replace"),
             "request_id": request_id,
             "count": self.count,
         }
-        self.change_running(1)
+        self.adjust_running(1)
         try:
             gevent.sleep(self.settings.service_s)
         finally:
-            self.change_running(-1)
+            self.adjust_running(-1)
         return echo
 
-    def change_running(self, by: int) -> None:
+    def adjust_running(self, change: int) -> None:
         """Note that a call begins or ends."""
-        self.running += by
+        self.running += change
         self.load.set(self.running)
 
 
--- a/packages/endive_standins/src/endive_standins/prefixes.py
+++ b/packages/endive_standins/src/endive_standins/prefixes.py
@@ -7,9 +7,9 @@
 
 import xxhash
 
-from endive_standins.serving import Delayed
+from endive_standins.serving import DelayedValue
 
-KEPT_EVENTS = 4096
+MAX_RETAINED_EVENTS = 4096
 
 
 def block_hashes(tokens: list[str], block_tokens: int) -> list[str]:
@@ -26,13 +26,13 @@
 class PrefixCache:
     """Bounded set of blocks; the least recently used goes first."""
 
-    def __init__(self, capacity: int, block_tokens: int, report: Callable) -> None:
+    def __init__(self, capacity: int, block_tokens: int, on_change: Callable) -> None:
         self.capacity = capacity
         self.block_tokens = block_tokens
-        self.report = report
+        self.on_change = on_change
         self.blocks: OrderedDict[str, None] = OrderedDict()
 
-    def covered(self, tokens: list[str]) -> int:
+    def cached_prefix_length(self, tokens: list[str]) -> int:
         """Return how many leading tokens are cached."""
         hashes = block_hashes(tokens, self.block_tokens)
         missing = (i for i, block in enumerate(hashes) if block not in self.blocks)
@@ -51,28 +51,30 @@
         evicted = [self.blocks.popitem(last=False)[0] for _ in excess]
         for kind, blocks in (("stored", stored), ("evicted", evicted)):
             if blocks:
-                self.report(kind, blocks)
+                self.on_change(kind, blocks)
 
 
 class CacheEvents:
     """Numbered events, seen late and with gaps."""
 
-    def __init__(self, lag_s: float, gap: float, seed: int) -> None:
-        self.gap = gap
+    def __init__(self, lag_s: float, loss_probability: float, seed: int) -> None:
+        self.loss_probability = loss_probability
         self.random = random.Random(seed)
-        self.next = 0
-        self.seen = Delayed(lag_s, 0)
-        self.events: deque[dict[str, Any]] = deque(maxlen=KEPT_EVENTS)
+        self.next_seq = 0
+        self.visible_next = DelayedValue(lag_s, 0)
+        self.events: deque[dict[str, Any]] = deque(maxlen=MAX_RETAINED_EVENTS)
 
     def add(self, kind: str, blocks: list[str]) -> None:
         """Publish an event, or lose it."""
-        if self.random.random() >= self.gap:
-            self.events.append({"seq": self.next, "kind": kind, "blocks": blocks})
-        self.next += 1
-        self.seen.set(self.next)
+        if self.random.random() >= self.loss_probability:
+            self.events.append({"seq": self.next_seq, "kind": kind, "blocks": blocks})
+        self.next_seq += 1
+        self.visible_next.set(self.next_seq)
 
-    def view(self, start: int) -> dict[str, Any]:
+    def read(self, start: int) -> dict[str, Any]:
         """Return the events from a number on that can be seen by now."""
-        seen = self.seen.get()
-        events = [event for event in self.events if start <= event["seq"] < seen]
-        return {"events": events, "next": seen}
+        visible_next = self.visible_next.get()
+        events = [
+            event for event in self.events if start <= event["seq"] < visible_next
+        ]
+        return {"events": events, "next": visible_next}
--- a/packages/endive_standins/src/endive_standins/responses.py
+++ b/packages/endive_standins/src/endive_standins/responses.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from endive_standins.batching import Sequence, answer_token
+from endive_standins.batching import Sequence, completion_token
 
 
-class Garble(msgspec.Struct):
+class StreamCorruption(msgspec.Struct):
     """Every how many events a stream goes wrong in which way; 0 is never."""
 
     repeat: int = 0
@@ -22,11 +22,11 @@
     return {
         "prompt_tokens": len(sequence.prompt_tokens),
         "completion_tokens": len(sequence.tokens),
-        "cached_tokens": sequence.covered,
+        "cached_tokens": sequence.reused_tokens,
     }
 
 
-def whole(sequence: Sequence, chat: bool, model: str) -> dict[str, Any]:
+def completion_body(sequence: Sequence, chat: bool, model: str) -> dict[str, Any]:
     """Return an answer that isn't streamed."""
     text = "".join(sequence.tokens)
     message = {"message": {"role": "assistant", "content": text}}
@@ -46,25 +46,29 @@
 class EventWriter:
     """Writes the events of one stream, or garbles them as ordered."""
 
-    def __init__(self, sequence: Sequence, chat: bool, garble: Garble | None) -> None:
+    def __init__(
+        self, sequence: Sequence, chat: bool, corruption: StreamCorruption | None
+    ) -> None:
         self.sequence = sequence
         self.chat = chat
-        self.garble = garble or Garble()
+        self.corruption = corruption or StreamCorruption()
         self.count = 0
-        self.held = ""
+        self.held_events = ""
 
     def write(self, index: int, text: str, last: bool) -> str:
         """Return what is sent when a token is due."""
         self.count += 1
         event = self._event(index, text, last)
-        lines = encode(event) * (2 if self._is_nth(self.garble.repeat) else 1)
-        if self._is_nth(self.garble.foreign):
-            lines = encode(self._foreign(index)) + lines
-        held_back = self._is_nth(self.garble.reorder) and not self.held and not last
-        if held_back and self.count > 1:
-            self.held = lines
+        lines = encode_event(event) * (2 if self._is_nth(self.corruption.repeat) else 1)
+        if self._is_nth(self.corruption.foreign):
+            lines = encode_event(self._foreign_event(index)) + lines
+        hold_back = (
+            self._is_nth(self.corruption.reorder) and not self.held_events and not last
+        )
+        if hold_back and self.count > 1:
+            self.held_events = lines
             return ""
-        lines, self.held = lines + self.held, ""
+        lines, self.held_events = lines + self.held_events, ""
         return lines + ("data: [DONE]\n\n" if last else "")
 
     def _is_nth(self, every: int) -> bool:
@@ -82,11 +86,11 @@
         }
         return {**event, "usage": usage(sequence)} if last else event
 
-    def _foreign(self, index: int) -> dict[str, Any]:
-        event = self._event(index, answer_token("foreign", index), last=False)
+    def _foreign_event(self, index: int) -> dict[str, Any]:
+        event = self._event(index, completion_token("foreign", index), last=False)
         return {**event, "id": f"foreign-{self.sequence.request_id}"}
 
 
-def encode(event: dict[str, Any]) -> str:
+def encode_event(event: dict[str, Any]) -> str:
     """Return an event as it is sent."""
     return f"data: {json.dumps(event)}\n\n"
--- a/packages/endive_standins/src/endive_standins/serving.py
+++ b/packages/endive_standins/src/endive_standins/serving.py
@@ -19,57 +19,57 @@
 
 HOST = "127.0.0.1"
 BACKLOG = 1024
-CRASH_STATUS = 1
-BODY = "endive_standins.body"
-SOCKET = "endive_standins.socket"
+CRASH_EXIT_STATUS = 1
+BODY_KEY = "endive_standins.body"
+SOCKET_KEY = "endive_standins.socket"
 
 
-def answer(body: Any, status: int = 200, **headers: str) -> HTTPResponse:
+def json_response(body: Any, status: int = 200, **headers: str) -> HTTPResponse:
     """Return a JSON answer."""
     headers = {"Content-Type": "application/json", **headers}
     return HTTPResponse(msgspec.json.encode(body), status, headers)
 
 
-def failure(status: int, code: str, **details: Any) -> HTTPResponse:
+def error_response(status: int, code: str, **details: Any) -> HTTPResponse:
     """Return a JSON answer that carries an error code."""
-    return answer({"error": {"code": code, **details}}, status)
+    return json_response({"error": {"code": code, **details}}, status)
 
 
-def not_run(code: str) -> HTTPResponse:
+def not_executed_response(code: str) -> HTTPResponse:
     """Return the refusal of a call before it started to run."""
-    return failure(503, code, executed="no")
+    return error_response(503, code, executed="no")
 
 
-def over_rate(wait_s: float) -> HTTPResponse:
+def rate_limit_response(wait_s: float) -> HTTPResponse:
     """Return the refusal of a call over a rate limit."""
     body = {"error": {"code": "over_rate", "retry_after_s": wait_s}}
-    return answer(body, 429, **{"Retry-After": str(int(wait_s) + 1)})
+    return json_response(body, 429, **{"Retry-After": str(int(wait_s) + 1)})
 
 
-def read(kind: Any) -> Any:
+def read_body(kind: Any) -> Any:
     """Return the JSON body of the current request, validated as `kind`."""
     try:
-        return msgspec.json.decode(request.environ[BODY], type=kind)
+        return msgspec.json.decode(request.environ[BODY_KEY], type=kind)
     except msgspec.DecodeError as error:
-        raise failure(400, "invalid", message=str(error)) from error
+        raise error_response(400, "invalid", message=str(error)) from error
 
 
-def query(name: str, kind: Callable[[str], Any], default: Any) -> Any:
+def query_parameter(name: str, kind: Callable[[str], Any], default: Any) -> Any:
     """Return a parameter of the current request's query."""
     try:
         return kind(request.query.get(name, default))
     except ValueError as error:
-        raise failure(400, "invalid", message=f"{name}: {error}") from error
+        raise error_response(400, "invalid", message=f"{name}: {error}") from error
 
 
-def connection_lost() -> BrokenPipeError:
+def connection_closed_error() -> BrokenPipeError:
     """Return the error that makes pywsgi close a connection without an answer."""
     return BrokenPipeError(errno.EPIPE, "the stand-in closes the connection")
 
 
-def disconnected(environ: dict[str, Any]) -> bool:
+def client_disconnected(environ: dict[str, Any]) -> bool:
     """Return whether the client of a request has closed its connection."""
-    connection = environ.get(SOCKET)
+    connection = environ.get(SOCKET_KEY)
     if connection is None:
         return False
     connection.settimeout(0.0)
@@ -105,7 +105,7 @@
         return 0.0
 
 
-class Delayed:
+class DelayedValue:
     """A value that is seen as it was some time ago."""
 
     def __init__(self, lag_s: float, value: Any) -> None:
@@ -120,8 +120,8 @@
 
     def get(self) -> Any:
         """Return the newest value that is old enough to be seen."""
-        seen = time.time() - self.lag_s
-        while len(self.history) > 1 and self.history[1][0] <= seen:
+        cutoff = time.time() - self.lag_s
+        while len(self.history) > 1 and self.history[1][0] <= cutoff:
             del self.history[0]
         return self.history[0][1]
 
@@ -136,7 +136,7 @@
     reject_next: int = 0
     lose_answers: int = 0
 
-    def take(self, name: str) -> bool:
+    def consume(self, name: str) -> bool:
         """Use up one of a number of ordered faults; return whether one was left."""
         left = getattr(self, name)
         setattr(self, name, max(0, left - 1))
@@ -159,18 +159,18 @@
 
     def wsgi(self, environ: dict[str, Any], start_response: Callable) -> Iterable:
         """Answer one call, or do to it what the ordered faults say."""
-        environ[BODY] = environ["wsgi.input"].read()
+        environ[BODY_KEY] = environ["wsgi.input"].read()
         if environ["PATH_INFO"] == "/faults":
             return super().wsgi(environ, start_response)
         work = self.stand_in.is_work(environ["REQUEST_METHOD"], environ["PATH_INFO"])
-        refusal = self.stand_in.meet_faults(work)
+        refusal = self.stand_in.apply_call_faults(work)
         if refusal is not None:
             start_response(refusal.status_line, refusal.headerlist)
             return [refusal.body]
         result = super().wsgi(environ, start_response)
         took_effect = work and response.status_code < 300
-        if took_effect and self.stand_in.faults.take("lose_answers"):
-            raise connection_lost()
+        if took_effect and self.stand_in.faults.consume("lose_answers"):
+            raise connection_closed_error()
         return result
 
 
@@ -184,7 +184,7 @@
         self.settings = settings
         self.faults = self.faults_type()
         self.outage_until = self.frozen_until = 0.0
-        self.crash: Callable[[], None] = partial(os._exit, CRASH_STATUS)
+        self.crash: Callable[[], None] = partial(os._exit, CRASH_EXIT_STATUS)
         self.app = App(self)
         self.route("POST", "/faults", self.post_faults)
 
@@ -197,8 +197,8 @@
         """Let a handler answer calls; it gets the body validated as `body`."""
 
         def call(**parts: str) -> HTTPResponse:
-            result = handler(*([read(body)] if body else []), **parts)
-            return result if isinstance(result, HTTPResponse) else answer(result)
+            result = handler(*([read_body(body)] if body else []), **parts)
+            return result if isinstance(result, HTTPResponse) else json_response(result)
 
         self.app.route(path, method, call)
 
@@ -214,14 +214,14 @@
 
     def post_faults(self) -> dict[str, Any]:
         """Order faults; fields that aren't given stay as they are."""
-        order = read(self.faults_type)
-        given = read(dict)
+        order = read_body(self.faults_type)
+        given = read_body(dict)
         for name in given:
             setattr(self.faults, name, getattr(order, name))
-        self.ordered(given)
+        self.apply_faults(given)
         return {"ordered": sorted(given)}
 
-    def ordered(self, given: dict[str, Any]) -> None:
+    def apply_faults(self, given: dict[str, Any]) -> None:
         """Let the faults that were just ordered begin."""
         now = time.monotonic()
         if "outage_s" in given:
@@ -235,16 +235,16 @@
         """Return whether every call fails at present."""
         return time.monotonic() < self.outage_until
 
-    def meet_faults(self, work: bool) -> HTTPResponse | None:
+    def apply_call_faults(self, work: bool) -> HTTPResponse | None:
         """Hold a call up as ordered; return the refusal if it goes no further."""
         while (frozen_s := self.frozen_until - time.monotonic()) > 0:
             gevent.sleep(frozen_s)
         if self.faults.delay_s:
             gevent.sleep(self.faults.delay_s)
         if self.in_outage():
-            return failure(503, "outage")
-        if work and self.faults.take("reject_next"):
-            return not_run("busy")
+            return error_response(503, "outage")
+        if work and self.faults.consume("reject_next"):
+            return not_executed_response("busy")
         return None
 
 
@@ -262,7 +262,7 @@
 
     def get_environ(self) -> dict[str, Any]:
         """Return the WSGI environment with the connection in it."""
-        return {**super().get_environ(), SOCKET: self.socket}
+        return {**super().get_environ(), SOCKET_KEY: self.socket}
 
 
 def listen(port: int) -> socket.socket:
--- a/packages/endive_standins/src/endive_standins/weights.py
+++ b/packages/endive_standins/src/endive_standins/weights.py
@@ -28,7 +28,7 @@
         """Load a version, which comes to its size here."""
         wait_s = self.bucket.take()
         if wait_s:
-            return serving.over_rate(wait_s)
+            return serving.rate_limit_response(wait_s)
         return {"name": name, "size_bytes": self.settings.size_bytes}
 
 
--- a/packages/endive_standins/tests/conftest.py
+++ b/packages/endive_standins/tests/conftest.py
@@ -40,9 +40,9 @@
     """Call over a socket in a thread of its own; return the status and the answer."""
 
     def run():
-        mine = connection or http.client.HTTPConnection("127.0.0.1", port, timeout=10)
-        mine.request(method, path, None if body is None else json.dumps(body))
-        answer = mine.getresponse()
+        client = connection or http.client.HTTPConnection("127.0.0.1", port, timeout=10)
+        client.request(method, path, None if body is None else json.dumps(body))
+        answer = client.getresponse()
         return answer.status, answer.read()
 
     return gevent.get_hub().threadpool.apply(run)
--- a/packages/endive_standins/tests/test_batching.py
+++ b/packages/endive_standins/tests/test_batching.py
@@ -1,7 +1,7 @@
 from itertools import count
 
 import pytest
-from endive_standins.batching import STEP_S, Batch, KvBlob, Sequence, answer_token
+from endive_standins.batching import STEP_S, Batch, KvBlob, Sequence, completion_token
 from endive_standins.engine import EngineSettings
 from endive_standins.prefixes import PrefixCache
 
@@ -15,7 +15,7 @@
         return self.at
 
 
-class Bench:
+class BatchHarness:
     """A batch whose time the test moves on."""
 
     def __init__(self, **settings):
@@ -46,89 +46,89 @@
 
 
 def test_prompt_is_prefilled_before_the_first_token():
-    bench = Bench()
-    sequence = bench.add()
-    bench.run_until(0.9)
+    harness = BatchHarness()
+    sequence = harness.add()
+    harness.run_until(0.9)
     assert sequence.tokens == []
-    bench.run_until(1.0)
-    assert sequence.tokens == [answer_token(PROMPT, 0)]
+    harness.run_until(1.0)
+    assert sequence.tokens == [completion_token(PROMPT, 0)]
 
 
 def test_cached_tokens_cost_no_prefill():
-    bench = Bench()
-    bench.add(max_tokens=1)
-    bench.run_until(1.0)
-    second = bench.add(PROMPT + "wxyz" * 32, max_tokens=1)
-    bench.run_until(1.49)
+    harness = BatchHarness()
+    harness.add(max_tokens=1)
+    harness.run_until(1.0)
+    second = harness.add(PROMPT + "wxyz" * 32, max_tokens=1)
+    harness.run_until(1.49)
     assert second.tokens == []
-    bench.run_until(1.5)
-    assert second.covered == 64
+    harness.run_until(1.5)
+    assert second.reused_tokens == 64
     assert second.finish_reason == "length"
 
 
 def test_prefill_takes_one_sequence_after_another():
-    bench = Bench()
-    bench.add()
-    second = bench.add("wxyz" * 64)
-    bench.run_until(1.9)
+    harness = BatchHarness()
+    harness.add()
+    second = harness.add("wxyz" * 64)
+    harness.run_until(1.9)
     assert second.tokens == []
-    bench.run_until(2.0)
+    harness.run_until(2.0)
     assert len(second.tokens) == 1
 
 
 def test_cancelled_prefill_lets_the_next_begin():
-    bench = Bench()
-    first, second = bench.add(), bench.add("wxyz" * 64)
-    bench.run_until(0.5)
-    bench.batch.end(first, "cancelled")
-    bench.run_until(1.5)
+    harness = BatchHarness()
+    first, second = harness.add(), harness.add("wxyz" * 64)
+    harness.run_until(0.5)
+    harness.batch.end(first, "cancelled")
+    harness.run_until(1.5)
     assert (first.tokens, len(second.tokens)) == ([], 1)
 
 
 def test_every_running_sequence_decodes_at_the_rate():
-    bench = Bench(prefill_tokens_per_s=1e9)
-    sequences = [bench.add(f"{n}", max_tokens=50) for n in range(4)]
-    bench.run_until(2.0)
+    harness = BatchHarness(prefill_tokens_per_s=1e9)
+    sequences = [harness.add(f"{n}", max_tokens=50) for n in range(4)]
+    harness.run_until(2.0)
     assert [len(sequence.tokens) for sequence in sequences] == [21] * 4
 
 
 def test_fast_engine_makes_a_whole_answer_in_the_first_step():
-    bench = Bench(decode_tokens_per_s=100_000, prefill_tokens_per_s=1e9)
-    assert bench.add(max_tokens=100).finish_reason == "length"
+    harness = BatchHarness(decode_tokens_per_s=100_000, prefill_tokens_per_s=1e9)
+    assert harness.add(max_tokens=100).finish_reason == "length"
 
 
 def test_sequence_over_the_batch_waits_for_a_place():
-    bench = Bench(max_batch=1, prefill_tokens_per_s=1e9)
-    first, second = bench.add(max_tokens=2), bench.add(max_tokens=2)
-    assert bench.started == [first]
-    bench.run_until(0.1)
-    assert bench.started == [first, second]
+    harness = BatchHarness(max_batch=1, prefill_tokens_per_s=1e9)
+    first, second = harness.add(max_tokens=2), harness.add(max_tokens=2)
+    assert harness.started == [first]
+    harness.run_until(0.1)
+    assert harness.started == [first, second]
 
 
 def test_higher_priority_waits_less_and_stops_nothing_that_runs():
-    bench = Bench(max_batch=1, prefill_tokens_per_s=1e9)
-    running, low = bench.add(max_tokens=2), bench.add(max_tokens=2)
-    high = bench.add(max_tokens=2, priority=1)
-    bench.run_until(0.3)
-    assert bench.started == [running, high, low]
+    harness = BatchHarness(max_batch=1, prefill_tokens_per_s=1e9)
+    running, low = harness.add(max_tokens=2), harness.add(max_tokens=2)
+    high = harness.add(max_tokens=2, priority=1)
+    harness.run_until(0.3)
+    assert harness.started == [running, high, low]
     assert running.finish_reason == high.finish_reason == "length"
 
 
 def test_full_queue_refuses_whichever_ranks_last():
-    bench = Bench(max_batch=1, max_waiting=1)
-    bench.add()
-    low, high, late = bench.add(), bench.add(priority=1), bench.add(priority=1)
+    harness = BatchHarness(max_batch=1, max_waiting=1)
+    harness.add()
+    low, high, late = harness.add(), harness.add(priority=1), harness.add(priority=1)
     assert (low.finish_reason, high.finish_reason) == ("busy", None)
     assert late.finish_reason == "busy"
     assert low.started_at is late.started_at is None
 
 
 def test_ended_sequence_makes_no_token_and_gives_its_place_up():
-    bench = Bench(max_batch=1, prefill_tokens_per_s=1e9)
-    first, second = bench.add(max_tokens=100), bench.add()
-    bench.batch.end(first, "cancelled")
+    harness = BatchHarness(max_batch=1, prefill_tokens_per_s=1e9)
+    first, second = harness.add(max_tokens=100), harness.add()
+    harness.batch.end(first, "cancelled")
     made = len(first.tokens)
-    bench.run_until(1.0)
+    harness.run_until(1.0)
     assert len(first.tokens) == made
     assert second.finish_reason == "length"
 
@@ -149,24 +149,24 @@
     ],
 )
 def test_tokens_are_counted_as_computed_and_recomputed(fields, computed, recomputed):
-    bench = Bench(prefill_tokens_per_s=1e9, decode_tokens_per_s=1e9)
-    bench.add(**fields)
-    counts = bench.batch.counts
+    harness = BatchHarness(prefill_tokens_per_s=1e9, decode_tokens_per_s=1e9)
+    harness.add(**fields)
+    counts = harness.batch.counts
     assert (counts.computed_tokens, counts.recomputed_tokens) == (computed, recomputed)
 
 
 def test_resumed_tokens_in_the_prefix_cache_are_not_recomputed():
     """A sequence comes back to the server that made its tokens and caches them."""
-    bench = Bench(prefill_tokens_per_s=1e9, decode_tokens_per_s=1e9)
-    first = bench.add(max_tokens=32)
-    bench.add(max_tokens=33, tokens=list(first.tokens), attempt=1)
-    assert bench.batch.counts.recomputed_tokens == 0
+    harness = BatchHarness(prefill_tokens_per_s=1e9, decode_tokens_per_s=1e9)
+    first = harness.add(max_tokens=32)
+    harness.add(max_tokens=33, tokens=list(first.tokens), attempt=1)
+    assert harness.batch.counts.recomputed_tokens == 0
 
 
 def test_next_work_is_never_due_within_the_step_that_was_done():
-    bench = Bench()
-    bench.add(max_tokens=30)
-    while (due := bench.batch.next_due()) is not None:
-        assert due > bench.clock.at + STEP_S
-        bench.clock.at = due
-        bench.batch.step()
+    harness = BatchHarness()
+    harness.add(max_tokens=30)
+    while (due := harness.batch.next_due()) is not None:
+        assert due > harness.clock.at + STEP_S
+        harness.clock.at = due
+        harness.batch.step()
--- a/packages/endive_standins/tests/test_engine.py
+++ b/packages/endive_standins/tests/test_engine.py
@@ -3,7 +3,7 @@
 
 import gevent
 import pytest
-from endive_standins.batching import answer_token
+from endive_standins.batching import completion_token
 from endive_standins.engine import Engine
 
 FAST = {"decode_tokens_per_s": 1e6, "prefill_tokens_per_s": 1e9}
@@ -28,7 +28,7 @@
 
 
 def tokens(prompt, *indexes):
-    return [answer_token(prompt, index) for index in indexes]
+    return [completion_token(prompt, index) for index in indexes]
 
 
 def texts(events):
@@ -48,7 +48,7 @@
 def test_chat_is_a_prompt_of_joined_messages(call, build):
     messages = [{"role": "system", "content": "a"}, {"role": "user", "content": "b"}]
     _, body = call(build(), "POST", CHAT, {"messages": messages, "max_tokens": 1})
-    message = {"role": "assistant", "content": answer_token("a\nb", 0)}
+    message = {"role": "assistant", "content": completion_token("a\nb", 0)}
     assert body["choices"][0]["message"] == message
 
 
