--- a/packages/endive_ctl/src/endive_ctl/__init__.py
+++ b/packages/endive_ctl/src/endive_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""``endivectl``, the command line of the operators' API."""
--- a/packages/endive_ctl/src/endive_ctl/cli.py
+++ b/packages/endive_ctl/src/endive_ctl/cli.py
@@ -1,7 +1,7 @@
-"""The command line of ``endivectl``.
+"""Commands of ``endivectl`` and the process's exit codes.
 
-Exit codes: 0 done, 1 refused by the node, 2 bad input or usage, 3 no node answered,
-4 another change was applied first.
+Exit codes: 0 success, 1 the node refused the request, 2 invalid input or usage, 3 no
+node responded, 4 version conflict: another change was applied first.
 """
 
 import dataclasses
@@ -21,10 +21,11 @@
 
 DEFAULT_SERVERS = "http://127.0.0.1:8081"
 WATCH_RETRY_DELAY_S = 1.0
+"""Delay before a broken watch is resumed, seconds."""
 
 
 class ExitCode(IntEnum):
-    """How ``endivectl`` ends."""
+    """Exit codes of ``endivectl``."""
 
     DONE = 0
     REFUSED = 1
@@ -34,20 +35,21 @@
 
 
 EXIT_CODES = {UNREACHABLE: ExitCode.UNREACHABLE, "version_conflict": ExitCode.CONFLICT}
+"""Exit codes by error code; any other error code exits with ``REFUSED``."""
 
 
 class Commands:
-    """Operate endivestack: create, change and watch resources.
+    """Operate endivestack: create, change, inspect and watch resources.
 
     Parameters
     ----------
     server
-        Addresses of nodes' operators' ports, separated by commas; any node will do.
-        Without it ``ENDIVE_SERVER``, or http://127.0.0.1:8081.
+        Comma-separated URLs of the operators' API of one or more nodes. Every node
+        serves all requests. Default: ``ENDIVE_SERVER``, or http://127.0.0.1:8081.
     token
-        The operator's token. Without it ``ENDIVE_TOKEN``.
+        The operator's token. Default: ``ENDIVE_TOKEN``.
     output
-        ``table`` for people, ``json`` for programs.
+        ``table`` for text, ``json`` for machine-readable output.
     """
 
     def __init__(
@@ -67,12 +69,15 @@
     ) -> None:
         """Create or change every resource in FILE, in order.
 
-        With --dry_run everything is checked and nothing changed. With
-        --expected_version a file of one resource is applied only over that version.
+        With --dry_run the node checks every resource and changes none. With
+        --expected_version, which needs a file with exactly one resource, the change
+        is applied only if the resource is at that version.
         """
         resources = read_resources(file)
         if expected_version is not None and len(resources) != 1:
-            raise FileError("--expected_version goes with a file of one resource")
+            raise FileError(
+                f"--expected_version: found {len(resources)} resources, allowed: 1"
+            )
         options = {"expected_version": expected_version}
         if dry_run:
             options["dry_run"] = "true"
@@ -82,7 +87,7 @@
             self._show(response, applied_line(name, response))
 
     def check(self, file: str) -> None:
-        """Check FILE without a node."""
+        """Check FILE locally, without contacting a node."""
         count = len(read_resources(file))
         self._show({"resources": count}, f"{file}: {count} resources, ok")
 
@@ -97,16 +102,19 @@
         self._show(response, tables.resources(response["items"]))
 
     def delete(self, kind: str, name: str, expected_version: int | None = None) -> None:
-        """Delete one resource, if it is still as this command sees it."""
+        """Delete one resource, unless another change to it comes first.
+
+        With --expected_version it is deleted only if it is at that version.
+        """
         response = self._client.delete(kind, name, expected_version=expected_version)
         self._show(response, f"{kind}/{name} deleted, version {response['version']}")
 
     def watch(
         self, kind: str | None = None, start: int | None = None, count: int = 0
     ) -> None:
-        """Show changes as they come, from version START on; stop after COUNT of them.
+        """Stream changes from version START on; exit after COUNT changes if given.
 
-        A watch that breaks goes on at the next node from the last version seen.
+        A watch that breaks is resumed from the last version received.
         """
         shown = 0
         while True:
@@ -125,38 +133,40 @@
             except ApiError as error:
                 if error.kind != UNREACHABLE:
                     raise
-                print(f"endivectl: {error}; going on", file=sys.stderr)
+                print(f"endivectl: {error}; resuming the watch", file=sys.stderr)
                 time.sleep(WATCH_RETRY_DELAY_S)
 
     def status(self) -> None:
-        """Show nodes, servers, refusals and configuration, as one node sees them."""
+        """Show nodes, servers, refusals and configuration, as known to one node."""
         response = self._client.status()
         self._show(response, tables.status(response))
 
     def explain(self, request_id: str) -> None:
-        """Show what became of a request, and why."""
+        """Show the outcome of one request and the events that led to it."""
         response = self._client.explain(request_id)
         self._show(response, tables.explanation(response))
 
     def losses(self, *files: str, every: float = 2.0) -> None:
-        """Show where callers lost, by route and cause, from gateways' log FILES.
+        """Count requests in time, late and failed, by cause, from gateways' log FILES.
 
-        With --every SECONDS the steps of time get that length.
+        --every SECONDS sets the length of the time intervals.
         """
         if not isinstance(every, int | float) or every <= 0:
-            raise FileError(f"--every: found {every!r}, allowed: seconds over 0")
+            raise FileError(
+                f"--every: found {every!r}, allowed: seconds greater than 0"
+            )
         report = LossReport.from_lines(read_lines(files), every)
         self._show(report.to_body(), tables.losses(report))
 
     def trace(self, request_id: str, *files: str) -> None:
-        """Show the way of one request over all nodes, from gateways' log FILES."""
+        """Show all events of one request on all nodes, from gateways' log FILES."""
         lines = [
             line
             for line in read_lines(files)
             if line.fields.get("request") == str(request_id)
         ]
         if not lines:
-            raise FileError(f"no line of request {request_id} in these files")
+            raise FileError(f"no log line of request {request_id} in the given files")
         response = {"lines": [dataclasses.asdict(line) for line in lines]}
         self._show(response, tables.trace(lines))
 
@@ -165,7 +175,7 @@
 
 
 def applied_line(name: str, response: dict) -> str:
-    """Return the line that tells what became of one applied resource."""
+    """Return the output line for one applied resource, or for its dry run."""
     if not response.get("dry_run"):
         return f"{name} version {response['version']}"
     verb = "change" if response["before"] else "create"
@@ -173,19 +183,19 @@
 
 
 def json_text(value) -> str:
-    """Return a JSON value, indented."""
+    """Return `value` as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(value), indent=2).decode()
 
 
 def error_lines(error: ApiError) -> str:
-    """Return one line for an error, with each field at fault."""
+    """Return an error as one line, with the problem of each invalid field."""
     fields = error.details.get("fields", ())
     reasons = "; ".join(f"{f['field']}: {f['problem']}" for f in fields)
     return f"endivectl: {error}" + (f" ({reasons})" if reasons else "")
 
 
 def main() -> None:
-    """Run ``endivectl``; errors are one line on standard error."""
+    """Run ``endivectl``; an error is printed as one line on standard error."""
     try:
         fire.Fire(Commands, name="endivectl")
     except FileError as error:
--- a/packages/endive_ctl/src/endive_ctl/client.py
+++ b/packages/endive_ctl/src/endive_ctl/client.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API, as a client."""
+"""Client of the operators' HTTP API."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 
 UNREACHABLE = "unreachable"
 WATCH_TIMEOUT_S = 10.0
-"""A node says every 2 s which version it has reached; one that is silent for longer
-hangs, and the watch goes on elsewhere."""
+"""Longest wait for the next event of a watch, seconds. A node sends its current version
+every 2 s, so a node that sends nothing for this long hangs and the watch is ended."""
 
 
 class ApiError(Exception):
-    """The node refused a call, or did not answer; `kind` is the error's code."""
+    """A request that a node refused or no node answered; `kind` is the error code."""
 
     def __init__(self, kind: str, message: str, details: dict | None = None) -> None:
         super().__init__(f"{kind}: {message}")
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class WatchEvent:
-    """One event of a watch; `version` is where to go on from."""
+    """One event of a watch; the watch can be resumed from `version`."""
 
     name: str
     version: int
@@ -33,12 +33,17 @@
 
 
 class OperatorClient:
-    """Calls to a node's operators' port with an operator's token.
+    """Sends requests to the operators' port of a node.
 
     Parameters
     ----------
     servers : list of str
-        Addresses of nodes; the first that answers is used, for any node will do.
+        URLs of nodes. Each request goes to the first one that accepts a connection,
+        since every node serves all requests.
+    token : str
+        The operator's token.
+    timeout_s : float
+        Connect and read timeout, seconds.
     """
 
     def __init__(self, servers: list[str], token: str, timeout_s: float = 15.0) -> None:
@@ -51,25 +56,29 @@
         self.pool = urllib3.PoolManager(retries=False)
 
     def call(self, method: str, path: str, body: Any = None, **query: Any) -> Any:
-        """Return the decoded answer.
+        """Send a request and return the decoded response body.
 
         Raises
         ------
         ApiError
-            If the node refused, or no node answered (kind ``unreachable``).
+            If the node refused the request, or no node responded (kind
+            ``unreachable``).
         """
         response = self._send(method, path, body, query)
         try:
             decoded = msgspec.json.decode(response.data or b"null")
         except (msgspec.DecodeError, urllib3.exceptions.HTTPError) as error:
-            raise ApiError(UNREACHABLE, f"the answer was cut off: {error}") from None
+            raise ApiError(
+                UNREACHABLE, f"invalid or truncated response: {error}"
+            ) from None
         return body_or_error(response.status, decoded)
 
     def _send(self, method: str, path: str, body: Any, query: dict, **options: Any):
-        """Return the response of the first node that can be connected to.
+        """Return the response of the first node that accepts a connection.
 
-        Only a failed connection moves on to the next node: after that the change may
-        have been taken, and sending it again is for whoever knows its change id.
+        Only a failed connection leads to the next node. After any other failure the
+        change may have been applied, so only a caller that knows its change id can
+        retry it safely.
         """
         text = urlencode({k: v for k, v in query.items() if v is not None})
         target = path + (f"?{text}" if text else "")
@@ -89,10 +98,12 @@
                 continue
             except urllib3.exceptions.HTTPError as error:
                 raise ApiError(UNREACHABLE, f"{server}: {error}") from None
-        raise ApiError(UNREACHABLE, f"no node answers at {', '.join(self.servers)}")
+        raise ApiError(
+            UNREACHABLE, f"cannot connect to any node of {', '.join(self.servers)}"
+        )
 
     def put(self, resource: dict, **options: Any) -> dict:
-        """Create or change one resource; return its version."""
+        """Create or change one resource; return the response with its version."""
         path = resource_path(resource["kind"], resource["name"])
         return self.call("PUT", path, resource, **options)
 
@@ -101,7 +112,7 @@
         return self.call("GET", resource_path(kind, name))
 
     def list(self, kind: str) -> dict:
-        """Return all visible resources of a kind."""
+        """Return all resources of a kind that the operator may see."""
         return self.call("GET", f"/v1/resources/{quote(kind)}")
 
     def delete(self, kind: str, name: str, **options: Any) -> dict:
@@ -109,11 +120,11 @@
         return self.call("DELETE", resource_path(kind, name), **options)
 
     def status(self) -> dict:
-        """Return the state of the node that answers."""
+        """Return the state of the node that responds."""
         return self.call("GET", "/v1/status")
 
     def explain(self, request_id: str) -> dict:
-        """Return what became of a request, and why."""
+        """Return the outcome of a request and the events that led to it."""
         return self.call("GET", f"/v1/requests/{quote(request_id)}")
 
     def watch(self, start: int | None, kind: str | None) -> Iterator[WatchEvent]:
@@ -122,7 +133,8 @@
         Raises
         ------
         ApiError
-            If the node refused, or the stream broke (kind ``unreachable``).
+            If the node refused the watch, or the stream ended (kind
+            ``unreachable``).
         """
         query = {"from": start, "kind": kind}
         response = self._send(
@@ -141,17 +153,17 @@
                 *blocks, buffer = (buffer + data).split(b"\n\n")
                 yield from map(parse_event, blocks)
         except urllib3.exceptions.HTTPError as error:
-            raise ApiError(UNREACHABLE, f"the watch broke: {error}") from None
-        raise ApiError(UNREACHABLE, "the node ended the watch")
+            raise ApiError(UNREACHABLE, f"watch interrupted: {error}") from None
+        raise ApiError(UNREACHABLE, "watch closed by the node")
 
 
 def resource_path(kind: str, name: str) -> str:
-    """Return the path of one resource."""
+    """Return the URL path of one resource."""
     return f"/v1/resources/{quote(kind)}/{quote(name)}"
 
 
 def body_or_error(status: int, decoded: Any) -> Any:
-    """Return `decoded`, or raise the error that it is."""
+    """Return a decoded response body; raise ApiError if it describes an error."""
     if status < 400:
         return decoded
     error = decoded["error"]
@@ -159,7 +171,7 @@
 
 
 def parse_event(text: bytes) -> WatchEvent:
-    """Return the event that one block of a server-sent stream holds."""
+    """Return the event in one block of a stream of server-sent events."""
     fields = dict(line.split(": ", 1) for line in text.decode().split("\n"))
     return WatchEvent(
         fields["event"], int(fields["id"]), msgspec.json.decode(fields["data"])
--- a/packages/endive_ctl/src/endive_ctl/loglines.py
+++ b/packages/endive_ctl/src/endive_ctl/loglines.py
@@ -1,4 +1,4 @@
-"""Lines of the gateways' logs, read back."""
+"""Parsing of the gateways' log files."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -24,9 +24,11 @@
     at : float
         Seconds since the earliest line.
     node : str
-        What the collector of the logs put before the line; empty if nothing.
+        The prefix that the log collector put before the line; empty without one.
+    event : str
+        The event's name.
     fields : dict of str to str
-        The key=value pairs, the event's name left out.
+        The other key=value pairs.
     """
 
     at: float
@@ -35,7 +37,7 @@
     fields: dict[str, str]
 
     def number(self, key: str) -> float:
-        """Return a field as a number; 0 where it is missing or none."""
+        """Return a field as a number; 0 if it is missing or not a number."""
         try:
             return float(self.fields.get(key, 0.0))
         except ValueError:
@@ -43,17 +45,18 @@
 
 
 def read_lines(paths: Iterable[str | Path]) -> list[LogLine]:
-    """Return the events in log files, in order of time; other lines are left out.
+    """Return the events in log files, sorted by time; other lines are ignored.
 
     Raises
     ------
     FileError
-        If a file can't be read, or none holds an event.
+        If a file can't be read, or no file contains an event.
     """
     found = [line for path in paths for line in _read(path)]
     if not found:
-        raise FileError("no line with event=... in these files")
-    # Half a day either side of the first line read, so that logs may span midnight.
+        raise FileError("no log line with event=... in the given files")
+    # Lines hold a time of day without a date. Each is placed within half a day before
+    # or after the first line read, so that logs may span midnight.
     reference = found[0].at
     times = [(line.at - reference + DAY_S / 2) % DAY_S for line in found]
     start = min(times)
--- a/packages/endive_ctl/src/endive_ctl/losses.py
+++ b/packages/endive_ctl/src/endive_ctl/losses.py
@@ -1,7 +1,8 @@
-"""Where callers lost: each request of a log by cause, so that all of them add up.
+"""Loss report: the requests in gateways' logs, each counted under exactly one cause.
 
-A gateway sees a request from its first byte to the end of its answer. What was lost
-before, while no node took connections, shows as dark time of the nodes.
+A gateway logs a request from its first byte to the end of its response. Requests that
+arrived while a node accepted no connections are in no log; they show only as downtime
+of the node (``dark_s``).
 """
 
 from collections import Counter, defaultdict
@@ -17,17 +18,19 @@
 YIELDED = "late: behind others"
 PAUSED = "late: pause"
 UNCOUNTED_OUTCOMES = frozenset({"not_found", "unauthenticated"})
-"""Outcomes of requests that no configuration allows: nothing is owed to them."""
+"""Outcomes of requests without a valid key or route. They are left out of the report,
+since no configuration would have served them."""
 
 MIN_DARK_S = 0.5
-"""Silence before a start that counts as dark, seconds: a busy node logs every few
-milliseconds."""
+"""Shortest gap in a node's log before a start that counts as downtime, seconds. A busy
+node logs every few milliseconds."""
 
 
 def loss_cause(line: LogLine) -> str:
-    """Return why a request's caller got less than a whole answer in time.
+    """Return why a request was not completed in time, or ``IN_TIME``.
 
-    A late answer is put down to the queue only if it would have been in time without.
+    A late first byte is attributed to the queue only if the request would have been in
+    time without the time in the queue.
     """
     outcome = line.fields.get("outcome", "")
     if outcome != "ok":
@@ -47,16 +50,20 @@
 
 @dataclass
 class LossReport:
-    """What a log says of the callers' losses and of what serving cost.
+    """Requests by cause, downtime of nodes, and the cost of serving.
 
     Attributes
     ----------
+    every_s : float
+        Length of the time intervals of `by_time`, seconds.
     by_route, by_time : dict
-        Requests by cause, for each route and each step of time.
+        Number of requests by cause, for each route and for each time interval.
     dark_s : dict of str to float
-        Seconds by node in which it said nothing before it started.
+        Downtime of each node, seconds: the gaps in its log before its starts.
     servers_s : dict
-        Seconds of servers ordered, by service and kind.
+        Server seconds ordered, by service and kind.
+    prompt_tokens, uncached_tokens : float
+        Tokens of the prompts, and those of them that were expected to be computed.
     """
 
     every_s: float
@@ -71,7 +78,7 @@
 
     @classmethod
     def from_lines(cls, lines: Iterable[LogLine], every_s: float = 2.0) -> "LossReport":
-        """Return the losses in `lines`, which are in order of time."""
+        """Return the report on `lines`, which are sorted by time."""
         report = cls(every_s)
         last_line_at: dict[str, float] = {}
         orders = OrderedServers(report.servers_s)
@@ -91,7 +98,7 @@
         return report
 
     def add_request(self, line: LogLine) -> None:
-        """Count one request."""
+        """Count one request, unless its outcome is left out of the report."""
         cause = loss_cause(line)
         if cause in UNCOUNTED_OUTCOMES:
             return
@@ -102,14 +109,14 @@
         self.uncached_tokens += line.number("uncached")
 
     def causes(self) -> list[str]:
-        """Return all causes found, those that hit most requests first."""
+        """Return all causes found, the most frequent first."""
         totals = Counter()
         for counts in self.by_route.values():
             totals.update(counts)
         return [cause for cause, _ in totals.most_common()]
 
     def to_body(self) -> dict:
-        """Return the same for programs."""
+        """Return the report as a JSON-serialisable dict."""
         return {
             "routes": {route: dict(counts) for route, counts in self.by_route.items()},
             "steps": [
@@ -127,21 +134,21 @@
 
 
 class OrderedServers:
-    """Adds up for how long servers were on order."""
+    """Adds up server seconds: the number of servers ordered, times the duration."""
 
     def __init__(self, totals: dict[tuple[str, str], float]) -> None:
         self.totals = totals
         self.ordered: dict[tuple[str, str, str], tuple[float, float]] = {}
 
     def add_order(self, line: LogLine) -> None:
-        """Take in an order, which replaces the one before of its zone and kind."""
+        """Add an order; it replaces the last one of its service, kind and zone."""
         kind = "reclaimable" if line.fields.get("reclaimable") == "True" else "kept"
         key = (line.fields.get("service", ""), kind, line.fields.get("zone", ""))
         self._count(key, line.at)
         self.ordered[key] = (line.number("servers"), line.at)
 
     def count_until(self, at: float) -> None:
-        """Count what is on order up to `at`."""
+        """Add up the servers on order until `at`, seconds."""
         for key in self.ordered:
             self._count(key, at)
 
--- a/packages/endive_ctl/src/endive_ctl/tables.py
+++ b/packages/endive_ctl/src/endive_ctl/tables.py
@@ -1,4 +1,4 @@
-"""Answers as tables for people."""
+"""Text tables for responses and reports."""
 
 import time
 from collections import Counter
@@ -12,7 +12,7 @@
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Return aligned columns; an empty table is its head alone."""
+    """Return aligned columns; without rows only the head."""
     cells = [list(head), *([str(cell) for cell in row] for row in rows)]
     widths = [max(len(row[i]) for row in cells) for i in range(len(head))]
     lines = (
@@ -25,7 +25,7 @@
 
 
 def resources(items: list[dict]) -> str:
-    """Return one row a resource: what it is, and whether it is in force."""
+    """Return one row for each resource, with whether it is in force."""
     head = ("KIND", "NAME", "OWNER", "VERSION", "IN FORCE", "NODES", "WHY NOT")
     return table(head, map(_resource_row, items))
 
@@ -44,7 +44,7 @@
 
 
 def event(version: int, data: dict) -> str:
-    """Return one line for a change that a watch shows."""
+    """Return the line that a watch prints for one change."""
     return (
         f"{clock(data['at'])} version {version} {data['type']} "
         f"{data['kind']}/{data['name']} by {data['operator'] or NO_VALUE}"
@@ -52,7 +52,7 @@
 
 
 def status(response: dict) -> str:
-    """Return the state of a node as a page."""
+    """Return the state of a node as text with several tables."""
     configuration = response["configuration"]
     age = configuration["log_read_s_ago"]
     parts = [
@@ -107,7 +107,7 @@
 
 
 def explanation(response: dict) -> str:
-    """Return what became of a request, an event a line."""
+    """Return the outcome of a request and its events, one event a line."""
     lines = [
         f"request {response['request_id']} of {response['organisation']}: "
         f"{response['state']}, executed: {response['executed']}",
@@ -117,7 +117,7 @@
 
 
 def losses(report: LossReport) -> str:
-    """Return where callers lost, by route and by time, and what serving cost."""
+    """Return a loss report as tables: by route, by time, server cost and downtime."""
     causes = report.causes()
 
     def rows(groups) -> list[tuple]:
@@ -141,7 +141,7 @@
 
 
 def trace(lines: Iterable[LogLine]) -> str:
-    """Return all that was logged of one request, a line an event."""
+    """Return a table of log lines of one request, one event a row."""
     rows = (
         (
             f"{line.at:.3f} s",
@@ -155,5 +155,5 @@
 
 
 def clock(at: float) -> str:
-    """Return a time of day in UTC."""
+    """Return a Unix time as an ISO 8601 timestamp in UTC."""
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(at))
--- a/packages/endive_ctl/tests/log_builders.py
+++ b/packages/endive_ctl/tests/log_builders.py
@@ -1,4 +1,4 @@
-"""Log lines as the gateways write them, behind the node's name."""
+"""Builders for gateways' log lines, each prefixed with the node's name."""
 
 
 def log_line(event, *, at=0.0, node="n1", **fields):
--- a/packages/endive_ctl/tests/test_loglines.py
+++ b/packages/endive_ctl/tests/test_loglines.py
@@ -12,7 +12,7 @@
     return paths
 
 
-def test_lines_of_several_nodes_stand_in_order_of_time(tmp_path):
+def test_lines_of_several_nodes_are_sorted_by_time(tmp_path):
     paths = written(
         tmp_path,
         ("a", log_line("start", at=12, node="a") + "no event here\n"),
@@ -24,9 +24,10 @@
 
 
 def test_logs_may_span_midnight(tmp_path):
-    """An incident shortly before midnight goes on into the next day.
+    """Log lines hold no date.
 
-    Read by the clock alone, its end would stand before its beginning.
+    Sorted by time of day alone, lines from after midnight would come before those
+    from before midnight.
     """
     before = log_line("start", at=86_399)
     after = log_line("stopped", at=1)
@@ -35,14 +36,14 @@
     assert events == [("start", 0), ("stopped", 2)]
 
 
-def test_a_field_that_is_no_number_counts_as_none(tmp_path):
+def test_a_field_that_is_not_a_number_reads_as_0(tmp_path):
     (path,) = written(tmp_path, ("a", log_line("request", ms="None")))
     (line,) = read_lines([path])
     assert line.number("ms") == line.number("missing") == 0
 
 
 @pytest.mark.parametrize("text", [None, "nothing logged\n"])
-def test_a_file_without_events_is_a_clear_error(tmp_path, text):
+def test_a_file_without_events_raises_file_error(tmp_path, text):
     path = tmp_path / "log"
     if text is not None:
         path.write_text(text)
--- a/packages/endive_ctl/tests/test_losses.py
+++ b/packages/endive_ctl/tests/test_losses.py
@@ -24,14 +24,14 @@
         ({"pause_ms": 400, "gap_ms": 300}, "in time"),
     ],
 )
-def test_a_request_is_put_down_to_one_cause(tmp_path, fields, cause):
+def test_a_request_is_counted_under_one_cause(tmp_path, fields, cause):
     path = tmp_path / "log"
     path.write_text(request_line(**fields))
     (line,) = read_lines([path])
     assert loss_cause(line) == cause
 
 
-def test_all_requests_add_up_in_both_tables(tmp_path):
+def test_both_tables_count_every_request_once(tmp_path):
     found = losses_of(
         tmp_path,
         log_line("start", at=0),
@@ -46,10 +46,10 @@
     assert found.by_time[0.0] == {"in time": 1, "late: first byte": 1}
 
 
-def test_the_silence_before_a_start_is_dark_time(tmp_path):
-    """All nodes lose power, and one is back after 1.7 s.
+def test_the_log_gap_before_a_start_is_downtime(tmp_path):
+    """A node is down for 1.7 s and restarts.
 
-    Requests that came meanwhile are in no log: only the silence tells of them.
+    Requests that arrived meanwhile are in no log; only the gap in the log shows them.
     """
     found = losses_of(
         tmp_path,
@@ -71,7 +71,7 @@
     assert found.servers_s == {("llm", "reclaimable"): pytest.approx(50)}
 
 
-def test_the_page_shows_causes_by_route_and_time(tmp_path):
+def test_the_tables_show_causes_by_route_and_time(tmp_path):
     found = losses_of(tmp_path, request_line(), request_line(first_ms=1500))
     page = tables.losses(found)
     assert all(word in page for word in ("ROUTE", "in time", "late: first byte"))
--- a/tests/test_endivectl.py
+++ b/tests/test_endivectl.py
@@ -1,4 +1,4 @@
-"""``endivectl`` as a new user would try it."""
+"""End-to-end tests of the ``endivectl`` commands against a running node."""
 
 import json
 import subprocess
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.processes
-def test_status_is_a_page_for_people(node):
+def test_status_prints_tables(node):
     page = endivectl("status", node=node)
     assert page.returncode == 0, page.stderr
     assert "node node-1 in brest: ready" in page.stdout
@@ -77,7 +77,7 @@
 
 @pytest.mark.processes
 def test_status_shows_zones_queues_and_reasons(node):
-    """An operator is woken by refusals and wants one page that tells where they are."""
+    """An operator who sees refusals needs their reasons and the queues in one place."""
     shown = json.loads(endivectl("status", "--output=json", node=node).stdout)
     assert shown["zones_under_notice"] == []
     assert {"queues", "refusals", "retries", "servers", "nodes"} <= shown.keys()
