--- a/packages/endive_standins/src/endive_standins/batching.py
+++ b/packages/endive_standins/src/endive_standins/batching.py
@@ -1,4 +1,8 @@
-"""Continuous batching: which sequences run, and when each token is due."""
+"""Simulation of continuous batching: which sequences run, and when each token is due.
+
+No model runs: prefill and decoding take time at configured rates, and the tokens are
+hashes of the prompt.
+"""
 
 import time
 from bisect import insort
@@ -14,25 +18,26 @@
 
 from endive_standins.prefixes import PrefixCache
 
-# Tokens due within a step are made at once. Without it a fast engine would sleep for
-# each token, and the timer's resolution would set its rate.
 STEP_S = 0.002
+"""Length of a step, seconds. Tokens due within a step are generated at once: an engine
+that slept for each token could not be faster than the timer's resolution allows."""
+
 CHARACTERS_PER_TOKEN = 4
 
 
 def split_prompt(prompt: str) -> list[str]:
-    """Split a prompt into what counts as its tokens."""
+    """Split a prompt into tokens of a fixed number of characters."""
     starts = range(0, len(prompt), CHARACTERS_PER_TOKEN)
     return [prompt[start : start + CHARACTERS_PER_TOKEN] for start in starts]
 
 
 def completion_token(prompt: str, index: int) -> str:
-    """Return a token of the one right answer to a prompt."""
+    """Return the token at `index` of the only correct completion of a prompt."""
     return xxhash.xxh3_64_hexdigest(f"{prompt}\0{index}".encode())[:6] + " "
 
 
 class ScaledClock:
-    """Time that passes at the speed of the engine's work."""
+    """Clock that runs at an adjustable speed, to slow an engine down or stop it."""
 
     def __init__(self) -> None:
         self.speed = 1.0
@@ -40,11 +45,11 @@
         self.updated_at = time.monotonic()
 
     def now(self) -> float:
-        """Return the seconds of full-speed work that were possible so far."""
+        """Return the seconds since the start, scaled by the speed at each time."""
         return self.elapsed_s + (time.monotonic() - self.updated_at) * self.speed
 
     def set_speed(self, speed: float) -> None:
-        """Let the work go on at another speed; 0 stops it."""
+        """Run at another speed from now on; 1 is real time, and 0 stops the clock."""
         self.elapsed_s, self.updated_at, self.speed = (
             self.now(),
             time.monotonic(),
@@ -53,7 +58,17 @@
 
 
 class KvBlob(msgspec.Struct):
-    """The exported KV cache of a sequence."""
+    """The exported KV cache of a sequence.
+
+    Attributes
+    ----------
+    prompt : str
+        The sequence's prompt.
+    tokens : list of str
+        The tokens of its completion so far.
+    computed : int
+        Number of leading tokens of prompt and completion that the cache covers.
+    """
 
     prompt: str
     tokens: list[str]
@@ -62,7 +77,23 @@
 
 @dataclass(eq=False)
 class Sequence:
-    """One generation; `tokens` is the whole answer so far, `resumed` of it given."""
+    """One attempt at a completion.
+
+    Attributes
+    ----------
+    tokens : list of str
+        The completion so far.
+    resumed_length : int
+        Number of leading tokens of it that the request supplied.
+    kv : KvBlob or None
+        The KV cache imported for the sequence.
+    reused_tokens : int
+        Number of leading tokens that needed no prefill.
+    prefill_end, next_token_at : float
+        When the prefill ends and when the next token is due, on the batch's clock.
+    changed : Event
+        Set when there are more tokens or the sequence ended.
+    """
 
     serial: int
     request_id: str
@@ -85,15 +116,15 @@
         self.prompt_tokens = split_prompt(self.prompt)
 
     def rank(self) -> tuple[int, int]:
-        """Return the place among waiting sequences, lowest first."""
+        """Return the sort key of the queue: higher priority, then earlier arrival."""
         return (-self.priority, self.serial)
 
     def context(self) -> list[str]:
-        """Return all tokens whose KV cache the sequence needs."""
+        """Return the tokens whose KV cache the sequence needs."""
         return self.prompt_tokens + self.tokens
 
     def imported_length(self) -> int:
-        """Return how many leading tokens an imported KV cache covers."""
+        """Return the number of leading tokens that the imported KV cache covers."""
         if self.kv is None or self.kv.prompt != self.prompt:
             return 0
         common = min(len(self.tokens), len(self.kv.tokens))
@@ -102,14 +133,26 @@
         return min(self.kv.computed, len(self.prompt_tokens) + common)
 
     def export(self) -> KvBlob:
-        """Return what another server needs to go on without prefill."""
+        """Return what another server needs to continue without prefill."""
         computed = len(self.context()) if self.prefilled else 0
         return KvBlob(self.prompt, self.tokens, computed)
 
 
 @dataclass
 class TokenCounts:
-    """What the engine's work came to, in tokens."""
+    """Totals of the engine's work, in tokens.
+
+    Attributes
+    ----------
+    computed_tokens : int
+        Tokens computed in prefill and decoding.
+    recomputed_tokens : int
+        Tokens computed in prefill that an earlier attempt had computed already.
+    cached_tokens : int
+        Tokens that needed no prefill.
+    decoded_tokens : int
+        Tokens generated.
+    """
 
     computed_tokens: int = 0
     recomputed_tokens: int = 0
@@ -118,10 +161,11 @@
 
 
 class Batch:
-    """The sequences that run and that wait, and the tokens that are due.
+    """The running and the waiting sequences, and the tokens that are due.
 
-    Prefill takes one sequence after another; every sequence past it decodes at the
-    same rate. `on_start` is called with each sequence that starts to run.
+    Sequences are prefilled one after another; after its prefill every sequence decodes
+    at the same rate, whatever the size of the batch. `on_start` is called with each
+    sequence that starts to run.
     """
 
     def __init__(
@@ -139,7 +183,7 @@
         self.decoding: list[tuple[float, int, Sequence]] = []
 
     def add(self, sequence: Sequence) -> None:
-        """Queue a sequence; a full queue refuses whichever ranks last."""
+        """Queue a sequence; if the queue is full, the last one in it is refused."""
         insort(self.waiting, sequence, key=Sequence.rank)
         self.step()
         if len(self.waiting) > self.settings.max_waiting:
@@ -155,13 +199,13 @@
             freed = self._decode(horizon)
 
     def next_due(self) -> float | None:
-        """Return when there is work again."""
+        """Return when work is due next, on the batch's clock; None if there is none."""
         due = [sequence.prefill_end for sequence in list(self.prefilling)[:1]]
         due += [entry[0] for entry in self.decoding[:1]]
         return min(due, default=None)
 
     def end(self, sequence: Sequence, reason: str) -> None:
-        """End a sequence; it makes no further token."""
+        """End a sequence; no further tokens are generated for it."""
         if sequence.finish_reason is not None:
             return
         sequence.finish_reason = reason
--- a/packages/endive_standins/src/endive_standins/cloud.py
+++ b/packages/endive_standins/src/endive_standins/cloud.py
@@ -1,4 +1,4 @@
-"""Stand-in for the cloud's interface: prices, instances and reclaims."""
+"""Stand-in for the cloud provider's API: prices, instances and reclaim notices."""
 
 import random
 import time
@@ -12,7 +12,7 @@
 
 
 class LaunchRequest(msgspec.Struct):
-    """The body of a call for an instance."""
+    """The body of a request to launch an instance."""
 
     client_token: str
     zone: str
@@ -23,7 +23,10 @@
 
 
 class ReclaimOrder(msgspec.Struct):
-    """The body of an order to reclaim an instance, or what is reclaimable in a zone."""
+    """The body of a request to reclaim an instance, or a zone's reclaimable instances.
+
+    `seconds` is the time from the notice to the end of the instances.
+    """
 
     seconds: float
     instance: str | None = None
@@ -31,26 +34,30 @@
 
 
 class Pool(msgspec.Struct):
-    """A machine class in a zone; a field that isn't given stands for any."""
+    """Instances of a machine class in a zone; a field that is None matches any."""
 
     zone: str | None = None
     machine_class: str | None = None
 
     def matches(self, launch: LaunchRequest) -> bool:
-        """Return whether an instance would come from this pool."""
+        """Return whether the instance would be launched in this pool."""
         zone_fits = self.zone in (None, launch.zone)
         return zone_fits and self.machine_class in (None, launch.machine_class)
 
 
 class CloudFaults(serving.Faults):
-    """The cloud's faults; each `refuse` adds a pool, and null lifts them all."""
+    """Faults of the cloud.
+
+    `refuse` is a pool in which launches fail with ``no_capacity``. Each request adds
+    one pool, and null removes all.
+    """
 
     refuse: Pool | None = None
 
 
 @dataclass
 class CloudSettings:
-    """The cloud's flags."""
+    """Command-line flags of the cloud."""
 
     zones: tuple[str, ...] = ("zone-a", "zone-b", "zone-c")
     machine_classes: tuple[str, ...] = ("small", "large")
@@ -58,7 +65,7 @@
 
 
 class Cloud(serving.StandIn):
-    """Cloud with prices by pool, instances and reclaims to order."""
+    """Cloud with prices by pool, instances, and reclaims on request."""
 
     settings_type = CloudSettings
     faults_type = CloudFaults
@@ -79,18 +86,18 @@
         self.route("POST", "/notices", self.post_notices, ReclaimOrder)
 
     def is_work(self, method: str, path: str) -> bool:
-        """Return whether the call changes what instances there are."""
+        """Return whether the request launches or terminates an instance."""
         return method != "GET" and path != "/notices"
 
     def apply_faults(self, given: dict[str, Any]) -> None:
-        """Let the ordered faults begin."""
+        """Apply the faults in `given`."""
         super().apply_faults(given)
         if "refuse" in given:
             pool = self.faults.refuse
             self.refused_pools = [*self.refused_pools, pool] if pool else []
 
     def post_instances(self, launch: LaunchRequest) -> Any:
-        """Launch an instance, or name the one that its client token launched."""
+        """Launch an instance, or return the one launched with the same client token."""
         instance_id = self.instances_by_token.get(launch.client_token)
         if instance_id is None and any(
             pool.matches(launch) for pool in self.refused_pools
@@ -104,7 +111,7 @@
         return {"id": instance_id}
 
     def get_instances(self) -> dict[str, Any]:
-        """List the instances, or those with a tag."""
+        """List the instances, or only those with a tag."""
         tag = serving.query_parameter("tag", str, "")
         self.terminate_reclaimed()
         matching = {i: e for i, e in self.instances.items() if not tag or tag in e.tags}
@@ -112,18 +119,21 @@
         return {"instances": listed}
 
     def delete_instance(self, id: str) -> Any:
-        """End an instance."""
+        """Terminate an instance."""
         if self.instances.pop(id, None) is None:
             return serving.error_response(404, "unknown_instance")
         return {"id": id}
 
     def post_notices(self, reclaim: ReclaimOrder) -> dict[str, Any]:
-        """Reclaim an instance or a zone after a notice."""
+        """Start the notice after which an instance or a zone is reclaimed."""
         self.reclaims.append((time.monotonic() + reclaim.seconds, reclaim))
         return {"seconds_left": reclaim.seconds}
 
     def get_notices(self) -> dict[str, Any]:
-        """List the reclaims under way."""
+        """List the notices of the reclaims that are not yet carried out.
+
+        An instance that the cloud did not launch, and a zone as such, are listed too.
+        """
         self.terminate_reclaimed()
         now = time.monotonic()
         notices = []
@@ -141,14 +151,14 @@
         return {"notices": notices}
 
     def reclaimed_instances(self, reclaim: ReclaimOrder) -> list[str]:
-        """Return the instances that a reclaim takes."""
+        """Return the instances that a reclaim terminates."""
         if reclaim.instance is not None:
             return [i for i in self.instances if i == reclaim.instance]
         entries = self.instances.items()
         return [i for i, e in entries if e.reclaimable and e.zone == reclaim.zone]
 
     def terminate_reclaimed(self) -> None:
-        """End the instances whose notice has run out."""
+        """Terminate the instances whose notice has expired."""
         now = time.monotonic()
         for deadline, reclaim in self.reclaims:
             for instance in (
@@ -159,7 +169,10 @@
 
 
 def generate_prices(settings: CloudSettings) -> list[dict[str, Any]]:
-    """Return a price for each pool; reclaimable machines are cheaper."""
+    """Return prices for each pool, drawn from the seed.
+
+    A reclaimable instance costs 20 % to 50 % of the full price.
+    """
     rng = random.Random(settings.seed)
     prices = []
     for zone, machine_class in product(settings.zones, settings.machine_classes):
--- a/packages/endive_standins/src/endive_standins/engine.py
+++ b/packages/endive_standins/src/endive_standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine."""
+"""Stand-in for a model engine: completions, KV cache transfer, load and orders."""
 
 import time
 from collections import Counter, OrderedDict
@@ -18,7 +18,10 @@
 from endive_standins.responses import EventWriter, StreamCorruption, completion_body
 
 MAX_RETAINED_SEQUENCES = 4096
+"""Sequences kept for cancel and export requests, ended ones included."""
+
 DISCONNECT_CHECK_S = 0.1
+"""Time between checks whether a waiting client has disconnected, seconds."""
 
 
 class Message(msgspec.Struct):
@@ -28,13 +31,16 @@
 
 
 class Resume(msgspec.Struct):
-    """The answer so far."""
+    """The completion that an earlier attempt generated so far."""
 
     tokens: list[str] = []
 
 
 class CompletionRequest(msgspec.Struct):
-    """The body of a call for a completion."""
+    """The body of a request for a completion.
+
+    `resume` and `kv_handle` continue a completion, with an imported KV cache.
+    """
 
     model: str = ""
     prompt: str = ""
@@ -49,19 +55,19 @@
 
 
 class RequestReference(msgspec.Struct):
-    """The body of an order about one request."""
+    """The body of a request about another request."""
 
     request_id: str
 
 
 class KvImport(msgspec.Struct):
-    """The body of an import of a KV cache."""
+    """The body of a request to import a KV cache."""
 
     blob: KvBlob
 
 
 class DesiredState(msgspec.Struct):
-    """What an engine is told to serve."""
+    """What an engine is to serve."""
 
     model: str = ""
     version: str = ""
@@ -70,7 +76,7 @@
 
 
 class Order(msgspec.Struct):
-    """The body of an order to the engine."""
+    """The body of an order to the engine; `fence` is its fencing token."""
 
     order_id: str
     fence: int
@@ -78,7 +84,19 @@
 
 
 class EngineFaults(serving.Faults):
-    """The engine's faults."""
+    """Faults of the engine.
+
+    Attributes
+    ----------
+    crash_on : str
+        A prompt that contains this text crashes the engine when it starts to run.
+    slow_factor : float
+        Factor by which all work takes longer.
+    drop_after : int or None
+        The next stream is cut off after so many tokens.
+    garble : StreamCorruption or None
+        Faults of the events of each stream.
+    """
 
     crash_on: str = ""
     slow_factor: float = 1.0
@@ -88,7 +106,21 @@
 
 @dataclass
 class EngineSettings:
-    """The engine's flags."""
+    """Command-line flags of the engine.
+
+    Attributes
+    ----------
+    max_batch, max_waiting : int
+        Largest number of running and of waiting sequences.
+    cache_blocks, block_tokens : int
+        Capacity of the prefix cache in blocks, and tokens in a block.
+    report_lag_s, event_lag_s : float
+        Age of the reported load and delay of cache events, seconds.
+    event_gap : float
+        Probability that a cache event is lost.
+    checks_fencing : bool
+        Whether orders with an old fencing token are rejected.
+    """
 
     id: str = "engine"
     decode_tokens_per_s: float = 50.0
@@ -105,7 +137,7 @@
 
 
 class EventStream:
-    """The server-sent events of one sequence; closing it cancels the sequence."""
+    """Iterator over the server-sent events of a sequence; `close` cancels it."""
 
     def __init__(
         self, engine: "Engine", sequence: Sequence, chat: bool, environ: dict[str, Any]
@@ -132,7 +164,7 @@
         return self._next_events().encode()
 
     def close(self) -> None:
-        """End the sequence if it still runs."""
+        """Cancel the sequence if it still runs."""
         self.engine.cancel_sequence(self.sequence)
 
     def _next_events(self) -> str:
@@ -192,11 +224,11 @@
         self.scheduler.start()
 
     def stop(self) -> None:
-        """End the scheduler."""
+        """Stop the scheduler."""
         self.scheduler.kill(block=False)
 
     def schedule(self) -> None:
-        """Step whenever there is work."""
+        """Step the batch whenever work is due."""
         while True:
             self.wake.clear()
             if self.clock.speed:
@@ -211,48 +243,54 @@
         return max(0.0, due - self.clock.now()) / self.clock.speed
 
     def record_load(self) -> None:
-        """Keep the load for a later report."""
+        """Record the current load, to be reported after the delay."""
         running, waiting = len(self.batch.running), len(self.batch.waiting)
         self.load.set((running, waiting, len(self.cache.blocks)))
 
     def is_work(self, method: str, path: str) -> bool:
-        """Return whether the call asks for a completion."""
+        """Return whether the request is for a completion."""
         return path.startswith("/v1/")
 
     def apply_faults(self, given: dict[str, Any]) -> None:
-        """Let the ordered faults begin."""
+        """Apply the faults in `given`."""
         super().apply_faults(given)
         self.set_speed()
 
     def set_speed(self) -> None:
-        """Let the work go on as fast as the faults allow."""
-        frozen_s = self.frozen_until - time.monotonic()
-        if frozen_s > 0:
-            gevent.spawn_later(frozen_s, self.set_speed)
-        self.clock.set_speed(0.0 if frozen_s > 0 else 1 / self.faults.slow_factor)
+        """Set the clock's speed according to the faults; 0 during a freeze."""
+        remaining_s = self.frozen_until - time.monotonic()
+        if remaining_s > 0:
+            gevent.spawn_later(remaining_s, self.set_speed)
+        self.clock.set_speed(0.0 if remaining_s > 0 else 1 / self.faults.slow_factor)
         self.wake.set()
 
     def on_sequence_start(self, sequence: Sequence) -> None:
-        """Note that a sequence starts to run, or crash on it."""
+        """Count an execution; crash if the prompt matches the injected fault."""
         self.executions[sequence.request_id] += 1
         if self.faults.crash_on and self.faults.crash_on in sequence.prompt:
             self.crash()
 
     def wait_for_tokens(
-        self, sequence: Sequence, seen: int, environ: dict[str, Any]
+        self, sequence: Sequence, known_length: int, environ: dict[str, Any]
     ) -> None:
-        """Wait for more than the tokens seen, or for the end of a sequence."""
-        while len(sequence.tokens) == seen and sequence.finish_reason is None:
+        """Wait until a sequence has more than `known_length` tokens, or ended.
+
+        Raises
+        ------
+        BrokenPipeError
+            If the client disconnected; the sequence is cancelled.
+        """
+        while len(sequence.tokens) == known_length and sequence.finish_reason is None:
             sequence.changed.clear()
             sequence.changed.wait(DISCONNECT_CHECK_S)
-            # Its client is gone: a sequence that goes on takes a place in the batch
-            # and nobody reads its tokens.
+            # After its client has disconnected, nobody reads the sequence's tokens,
+            # but it would still take a place in the batch.
             if serving.client_disconnected(environ):
                 self.cancel_sequence(sequence)
                 raise serving.connection_closed_error()
 
     def cancel_sequence(self, sequence: Sequence) -> None:
-        """End a sequence before its answer is whole."""
+        """End a sequence before its completion is finished."""
         self.batch.end(sequence, "cancelled")
         self.record_load()
         self.wake.set()
@@ -262,14 +300,14 @@
         return self.complete(call, call.prompt, chat=False)
 
     def post_chat_completions(self, call: CompletionRequest) -> HTTPResponse:
-        """Answer a chat."""
+        """Complete a chat."""
         prompt = "\n".join(message.content for message in call.messages)
         return self.complete(call, prompt, chat=True)
 
     def complete(
         self, call: CompletionRequest, prompt: str, chat: bool
     ) -> HTTPResponse:
-        """Run a call, or refuse it before it starts."""
+        """Execute a completion request, or refuse it before it starts to run."""
         environ = request.environ
         sequence = self.new_sequence(call, prompt)
         self.batch.add(sequence)
@@ -286,7 +324,7 @@
         return serving.json_response(completion_body(sequence, chat, call.model))
 
     def new_sequence(self, call: CompletionRequest, prompt: str) -> Sequence:
-        """Build the sequence of a call."""
+        """Create and retain the sequence of a completion request."""
         number = next(self.numbers)
         request_id = call.request_id or f"{self.settings.id}-{number}"
         tokens = list(call.resume.tokens) if call.resume else []
@@ -307,34 +345,34 @@
         return sequence
 
     def cancel_request(self, request_id: str) -> Sequence | None:
-        """End every attempt at a request; return the last one."""
+        """Cancel all attempts at a request; return the last one, None if unknown."""
         for sequence in [*self.batch.running, *self.batch.waiting]:
             if sequence.request_id == request_id:
                 self.cancel_sequence(sequence)
         return self.sequences.get(request_id)
 
-    def post_cancel(self, name: RequestReference) -> dict[str, Any]:
+    def post_cancel(self, reference: RequestReference) -> dict[str, Any]:
         """Cancel a request."""
-        sequence = self.cancel_request(name.request_id)
+        sequence = self.cancel_request(reference.request_id)
         if sequence is None:
             return {"stopped": False, "known": False}
         return {"stopped": True, "known": True, "tokens": sequence.tokens}
 
-    def post_export(self, name: RequestReference) -> Any:
-        """Stop a sequence and hand out its KV cache."""
-        sequence = self.cancel_request(name.request_id)
+    def post_export(self, reference: RequestReference) -> Any:
+        """Cancel a request and return its tokens and its KV cache."""
+        sequence = self.cancel_request(reference.request_id)
         if sequence is None:
             return serving.error_response(404, "unknown_request")
         return {"tokens": sequence.tokens, "blob": sequence.export()}
 
-    def post_import(self, order: KvImport) -> dict[str, Any]:
-        """Take a KV cache in."""
+    def post_import(self, kv_import: KvImport) -> dict[str, Any]:
+        """Store a KV cache and return a handle for a completion request."""
         handle = f"kv-{next(self.numbers)}"
-        self.imports[handle] = order.blob
+        self.imports[handle] = kv_import.blob
         return {"kv_handle": handle}
 
     def get_load(self) -> dict[str, Any]:
-        """Report the load as it was a while ago."""
+        """Return the load as of `report_lag_s` seconds ago."""
         running, waiting, cached_blocks = self.load.get()
         return {
             "running": running,
@@ -345,11 +383,11 @@
         }
 
     def get_events(self) -> dict[str, Any]:
-        """Report what entered and left the prefix cache."""
+        """Return the events of blocks stored in and evicted from the prefix cache."""
         return self.events.read(serving.query_parameter("from", int, 0))
 
     def post_orders(self, order: Order) -> Any:
-        """Take an order, unless its fence is old and the engine checks it."""
+        """Apply an order, unless fencing is checked and its fencing token is old."""
         highest = self.state["fence"]
         if self.settings.checks_fencing and order.fence < highest:
             return serving.error_response(409, "stale_fence", fence=highest)
@@ -357,7 +395,7 @@
         return {"applied": True}
 
     def get_stats(self) -> dict[str, Any]:
-        """Report the work done."""
+        """Return totals of the work done, and the executions of each request."""
         return {**asdict(self.batch.counts), "executions": self.executions}
 
 
--- a/packages/endive_standins/src/endive_standins/instances.py
+++ b/packages/endive_standins/src/endive_standins/instances.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of live and leaving instances."""
+"""Stand-in for the platform's registry of live and leaving instances."""
 
 from dataclasses import dataclass
 from typing import Any, Literal
@@ -9,7 +9,7 @@
 
 
 class Entry(msgspec.Struct):
-    """What the list says of an instance."""
+    """One instance in the list."""
 
     address: str
     zone: str
@@ -19,13 +19,13 @@
 
 @dataclass
 class InstancesSettings:
-    """The list's flags."""
+    """Command-line flags; `lag_s` is the delay of the list, seconds."""
 
     lag_s: float = 0.0
 
 
 class Instances(serving.StandIn):
-    """List of instances that lags behind the truth."""
+    """List of instances that shows each change after a delay."""
 
     settings_type = InstancesSettings
 
@@ -38,17 +38,17 @@
         self.route("DELETE", "/instances/<id>", self.delete_instance)
 
     def put_instance(self, entry: Entry, id: str) -> dict[str, Any]:
-        """Set the truth about an instance."""
+        """Add an instance or replace its entry."""
         self.actual[id] = entry
         return self.publish(id)
 
     def delete_instance(self, id: str) -> dict[str, Any]:
-        """Take an instance off the list."""
+        """Remove an instance."""
         self.actual.pop(id, None)
         return self.publish(id)
 
     def publish(self, id: str) -> dict[str, Any]:
-        """Let the list follow the truth."""
+        """Publish the current entries; readers see them after the delay."""
         entries = self.actual.items()
         self.reported.set([{"id": i, **msgspec.structs.asdict(e)} for i, e in entries])
         return {"id": id}
--- a/packages/endive_standins/src/endive_standins/log.py
+++ b/packages/endive_standins/src/endive_standins/log.py
@@ -16,27 +16,27 @@
 
 
 class Append(msgspec.Struct):
-    """The body of an append."""
+    """The body of a request to append records."""
 
     records: Annotated[list[str], msgspec.Meta(min_length=1)]
 
 
 class DelayedAppends(msgspec.Struct):
-    """Appends to come that answer 504 and take effect later."""
+    """The next `count` appends return 504 and are applied `delay_s` seconds later."""
 
     count: int
     delay_s: float
 
 
 class Truncation(msgspec.Struct):
-    """Retention of one stream, at once."""
+    """Removal of one stream's records with offsets below `offset`."""
 
     stream: str
     offset: int
 
 
 class LogFaults(serving.Faults):
-    """The log's faults."""
+    """Faults of the log."""
 
     late_appends: DelayedAppends | None = None
     forget_before: Truncation | None = None
@@ -44,7 +44,7 @@
 
 @dataclass
 class LogSettings:
-    """The log's flags; a rate or retention of 0 is no limit."""
+    """Command-line flags of the log; a rate or retention of 0 means no limit."""
 
     appends_per_s: float = 0.0
     retention_s: float = 0.0
@@ -52,7 +52,7 @@
 
 @dataclass
 class Stream:
-    """The records of one stream that are still kept."""
+    """The retained records of one stream; `first` is the offset of the oldest."""
 
     first: int = 0
     records: deque[dict[str, Any]] = field(default_factory=deque)
@@ -64,7 +64,7 @@
         return self.first + len(self.records)
 
     def append(self, bodies: list[str]) -> int:
-        """Add records; return the offset of the first of them."""
+        """Append records; return the offset of the first one."""
         start, now = self.next, time.time()
         for offset, body in enumerate(bodies, start):
             self.records.append({"offset": offset, "time": now, "body": body})
@@ -72,12 +72,12 @@
         return start
 
     def wake_readers(self) -> None:
-        """Let every reader that waits look again."""
+        """Make every waiting reader check its condition again."""
         self.changed.set()
         self.changed = Event()
 
     def trim(self, offset: int, min_time: float) -> None:
-        """Drop the records below an offset or from before a time."""
+        """Drop the oldest records: those below an offset or written before a time."""
         while self.records and (
             self.first < offset or self.records[0]["time"] < min_time
         ):
@@ -85,13 +85,13 @@
             self.first += 1
 
     def read(self, start: int, limit: int) -> list[dict[str, Any]]:
-        """Return up to `limit` records from an offset that is kept or to come."""
+        """Return up to `limit` records from `start`, which must be `first` or above."""
         stop = min(self.next, start + limit)
         return [self.records[i - self.first] for i in range(start, stop)]
 
 
 class Log(serving.StandIn):
-    """Append-only streams of records with offsets from 0."""
+    """Append-only streams of records, with offsets from 0 in each."""
 
     settings_type = LogSettings
     faults_type = LogFaults
@@ -105,7 +105,7 @@
         self.route("GET", "/streams/<name>/records", self.get_records)
 
     def apply_faults(self, given: dict[str, Any]) -> None:
-        """Let the ordered faults begin; readers that wait meet an outage too."""
+        """Apply the faults in `given`; an outage also ends the waiting reads."""
         super().apply_faults(given)
         truncation = self.faults.forget_before
         if "forget_before" in given and truncation is not None:
@@ -114,7 +114,7 @@
             stream.wake_readers()
 
     def stream(self, name: str) -> Stream:
-        """Return a stream without the records that are past retention."""
+        """Return a stream, created if missing, with expired records dropped."""
         stream = self.streams.setdefault(name, Stream())
         if self.settings.retention_s:
             stream.trim(0, time.time() - self.settings.retention_s)
@@ -127,7 +127,7 @@
         return {"streams": bounds}
 
     def post_records(self, append: Append, name: str) -> Any:
-        """Append records: all of them or none."""
+        """Append all records of the request, or none."""
         wait_s = self.bucket.take()
         if wait_s:
             return serving.rate_limit_response(wait_s)
@@ -140,11 +140,11 @@
         return {"offset": offset, "next": offset + len(append.records)}
 
     def append(self, name: str, bodies: list[str]) -> int:
-        """Append records; return the offset of the first of them."""
+        """Append records to a stream; return the offset of the first one."""
         return self.stream(name).append(bodies)
 
     def get_records(self, name: str) -> Any:
-        """Read records, waiting for the first of them."""
+        """Read records, waiting up to ``wait_s`` seconds for the first one."""
         start = serving.query_parameter("from", int, 0)
         limit = serving.query_parameter("limit", int, DEFAULT_LIMIT)
         deadline = time.monotonic() + serving.query_parameter("wait_s", float, 0.0)
@@ -159,7 +159,7 @@
     def wait_for_record(
         self, stream: Stream, offset: int, deadline: float
     ) -> HTTPResponse | None:
-        """Wait for a record; return the refusal if an outage comes instead."""
+        """Wait for a record; return an error response if an outage begins meanwhile."""
         while (
             stream.next <= offset and (remaining_s := deadline - time.monotonic()) > 0
         ):
--- a/packages/endive_standins/src/endive_standins/plain.py
+++ b/packages/endive_standins/src/endive_standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service beside the model engines."""
+"""Stand-in for a plain HTTP service, which is no model engine."""
 
 import time
 from collections import Counter
@@ -13,7 +13,11 @@
 
 @dataclass
 class PlainSettings:
-    """The service's flags."""
+    """Command-line flags of the service.
+
+    `service_s` is the duration of a request, and `report_lag_s` the age of the reported
+    load, both in seconds.
+    """
 
     id: str = "plain"
     service_s: float = 0.0
@@ -22,7 +26,7 @@
 
 
 class Plain(serving.StandIn):
-    """Service that answers any call with what it was asked."""
+    """Service that echoes any request in its response."""
 
     settings_type = PlainSettings
 
@@ -37,11 +41,11 @@
         self.route("ANY", "/<path:path>", self.run)
 
     def is_work(self, method: str, path: str) -> bool:
-        """Return whether the call is one that the service runs."""
+        """Return whether the request is one that the service executes."""
         return path not in ("/load", "/stats")
 
     def get_load(self) -> dict[str, Any]:
-        """Report the load as it was a while ago."""
+        """Return the load as of `report_lag_s` seconds ago."""
         reported_at = time.time() - self.settings.report_lag_s
         running, capacity = self.load.get(), self.settings.capacity
         return {
@@ -52,7 +56,7 @@
         }
 
     def run(self, path: str = "") -> dict[str, Any]:
-        """Run a call."""
+        """Execute a request: count it, wait, and echo it."""
         self.count += 1
         request_id = request.get_header("X-Request-Id", "")
         self.executions[request_id] += 1
@@ -72,7 +76,7 @@
         return echo
 
     def adjust_running(self, change: int) -> None:
-        """Note that a call begins or ends."""
+        """Add `change` to the number of running requests."""
         self.running += change
         self.load.set(self.running)
 
--- a/packages/endive_standins/src/endive_standins/prefixes.py
+++ b/packages/endive_standins/src/endive_standins/prefixes.py
@@ -1,4 +1,4 @@
-"""Prefix cache of a model engine, and the events that it publishes."""
+"""Simulated prefix cache of a model engine, and the events that it publishes."""
 
 import random
 from collections import OrderedDict, deque
@@ -13,7 +13,7 @@
 
 
 def block_hashes(tokens: list[str], block_tokens: int) -> list[str]:
-    """Return the chained hashes of the full blocks of a prefix."""
+    """Return the hashes of the full blocks of a prefix, each chained to the last."""
     hashes: list[str] = []
     parent = ""
     for end in range(block_tokens, len(tokens) + 1, block_tokens):
@@ -24,7 +24,7 @@
 
 
 class PrefixCache:
-    """Bounded set of blocks; the least recently used goes first."""
+    """Set of blocks with LRU eviction; `on_change` is called with each change."""
 
     def __init__(self, capacity: int, block_tokens: int, on_change: Callable) -> None:
         self.capacity = capacity
@@ -33,7 +33,7 @@
         self.blocks: OrderedDict[str, None] = OrderedDict()
 
     def cached_prefix_length(self, tokens: list[str]) -> int:
-        """Return how many leading tokens are cached."""
+        """Return the number of leading tokens whose blocks are cached."""
         hashes = block_hashes(tokens, self.block_tokens)
         missing = (i for i, block in enumerate(hashes) if block not in self.blocks)
         return next(missing, len(hashes)) * self.block_tokens
@@ -42,8 +42,8 @@
         """Cache the full blocks of a prefix."""
         hashes = block_hashes(tokens, self.block_tokens)[: self.capacity]
         stored = [block for block in hashes if block not in self.blocks]
-        # A block is of use only with all blocks before it, so the first block counts
-        # as the most recently used, and a prefix loses its end first.
+        # A block can be reused only with all blocks before it. So the first block is
+        # marked as the most recently used, and a prefix is evicted from its end.
         for block in reversed(hashes):
             self.blocks[block] = None
             self.blocks.move_to_end(block)
@@ -55,7 +55,17 @@
 
 
 class CacheEvents:
-    """Numbered events, seen late and with gaps."""
+    """Numbered events that become visible after a delay and may be lost.
+
+    Parameters
+    ----------
+    lag_s : float
+        Delay until an event is visible, seconds.
+    loss_probability : float
+        Probability that an event is lost; its number is then missing.
+    seed : int
+        Seed of the random losses.
+    """
 
     def __init__(self, lag_s: float, loss_probability: float, seed: int) -> None:
         self.loss_probability = loss_probability
@@ -65,14 +75,14 @@
         self.events: deque[dict[str, Any]] = deque(maxlen=MAX_RETAINED_EVENTS)
 
     def add(self, kind: str, blocks: list[str]) -> None:
-        """Publish an event, or lose it."""
+        """Publish an event, or lose it at random."""
         if self.random.random() >= self.loss_probability:
             self.events.append({"seq": self.next_seq, "kind": kind, "blocks": blocks})
         self.next_seq += 1
         self.visible_next.set(self.next_seq)
 
     def read(self, start: int) -> dict[str, Any]:
-        """Return the events from a number on that can be seen by now."""
+        """Return the visible events with numbers from `start` on."""
         visible_next = self.visible_next.get()
         events = [
             event for event in self.events if start <= event["seq"] < visible_next
--- a/packages/endive_standins/src/endive_standins/responses.py
+++ b/packages/endive_standins/src/endive_standins/responses.py
@@ -1,4 +1,4 @@
-"""How a model engine words its answers, whole or as server-sent events."""
+"""Bodies of a model engine's responses: complete, or as server-sent events."""
 
 import json
 import time
@@ -10,7 +10,17 @@
 
 
 class StreamCorruption(msgspec.Struct):
-    """Every how many events a stream goes wrong in which way; 0 is never."""
+    """Faults of an event stream; each applies to every n-th event, and 0 is never.
+
+    Attributes
+    ----------
+    repeat : int
+        The event is sent twice.
+    reorder : int
+        The event is sent after the next one.
+    foreign : int
+        An event of another request is sent before it.
+    """
 
     repeat: int = 0
     reorder: int = 0
@@ -18,7 +28,7 @@
 
 
 def usage(sequence: Sequence) -> dict[str, int]:
-    """Return the token counts of a whole answer."""
+    """Return the token counts of a completion."""
     return {
         "prompt_tokens": len(sequence.prompt_tokens),
         "completion_tokens": len(sequence.tokens),
@@ -27,7 +37,7 @@
 
 
 def completion_body(sequence: Sequence, chat: bool, model: str) -> dict[str, Any]:
-    """Return an answer that isn't streamed."""
+    """Return the body of a response that isn't streamed."""
     text = "".join(sequence.tokens)
     message = {"message": {"role": "assistant", "content": text}}
     choice = {"index": 0, **(message if chat else {"text": text})}
@@ -44,7 +54,7 @@
 
 
 class EventWriter:
-    """Writes the events of one stream, or garbles them as ordered."""
+    """Formats the events of one stream, with the injected stream faults."""
 
     def __init__(
         self, sequence: Sequence, chat: bool, corruption: StreamCorruption | None
@@ -56,7 +66,7 @@
         self.held_events = ""
 
     def write(self, index: int, text: str, last: bool) -> str:
-        """Return what is sent when a token is due."""
+        """Return the text to send for one token; empty if its event is delayed."""
         self.count += 1
         event = self._event(index, text, last)
         lines = encode_event(event) * (2 if self._is_nth(self.corruption.repeat) else 1)
@@ -92,5 +102,5 @@
 
 
 def encode_event(event: dict[str, Any]) -> str:
-    """Return an event as it is sent."""
+    """Return an event in the format of server-sent events."""
     return f"data: {json.dumps(event)}\n\n"
--- a/packages/endive_standins/src/endive_standins/serving.py
+++ b/packages/endive_standins/src/endive_standins/serving.py
@@ -1,4 +1,4 @@
-"""What every stand-in shares: its HTTP program, its fault orders and its server."""
+"""Shared parts of the stand-ins: HTTP application, fault injection and server."""
 
 import errno
 import os
@@ -25,46 +25,58 @@
 
 
 def json_response(body: Any, status: int = 200, **headers: str) -> HTTPResponse:
-    """Return a JSON answer."""
+    """Return a response with a JSON body."""
     headers = {"Content-Type": "application/json", **headers}
     return HTTPResponse(msgspec.json.encode(body), status, headers)
 
 
 def error_response(status: int, code: str, **details: Any) -> HTTPResponse:
-    """Return a JSON answer that carries an error code."""
+    """Return a JSON response with an error code."""
     return json_response({"error": {"code": code, **details}}, status)
 
 
 def not_executed_response(code: str) -> HTTPResponse:
-    """Return the refusal of a call before it started to run."""
+    """Return the 503 response for a request that was not executed."""
     return error_response(503, code, executed="no")
 
 
 def rate_limit_response(wait_s: float) -> HTTPResponse:
-    """Return the refusal of a call over a rate limit."""
+    """Return the 429 response for a request over a rate limit."""
     body = {"error": {"code": "over_rate", "retry_after_s": wait_s}}
     return json_response(body, 429, **{"Retry-After": str(int(wait_s) + 1)})
 
 
-def read_body(kind: Any) -> Any:
-    """Return the JSON body of the current request, validated as `kind`."""
+def read_body(body_type: Any) -> Any:
+    """Return the JSON body of the current request, validated as `body_type`.
+
+    Raises
+    ------
+    HTTPResponse
+        A 400 response, if the body is invalid.
+    """
     try:
-        return msgspec.json.decode(request.environ[BODY_KEY], type=kind)
+        return msgspec.json.decode(request.environ[BODY_KEY], type=body_type)
     except msgspec.DecodeError as error:
         raise error_response(400, "invalid", message=str(error)) from error
 
 
-def query_parameter(name: str, kind: Callable[[str], Any], default: Any) -> Any:
-    """Return a parameter of the current request's query."""
+def query_parameter(name: str, convert: Callable[[str], Any], default: Any) -> Any:
+    """Return a query parameter of the current request, or its default.
+
+    Raises
+    ------
+    HTTPResponse
+        A 400 response, if the parameter is invalid.
+    """
     try:
-        return kind(request.query.get(name, default))
+        return convert(request.query.get(name, default))
     except ValueError as error:
         raise error_response(400, "invalid", message=f"{name}: {error}") from error
 
 
 def connection_closed_error() -> BrokenPipeError:
-    """Return the error that makes pywsgi close a connection without an answer."""
-    return BrokenPipeError(errno.EPIPE, "the stand-in closes the connection")
+    """Return the error on which pywsgi closes a connection without a response."""
+    return BrokenPipeError(errno.EPIPE, "connection closed by the stand-in")
 
 
 def client_disconnected(environ: dict[str, Any]) -> bool:
@@ -92,7 +104,7 @@
         self.filled_at = time.monotonic()
 
     def take(self) -> float:
-        """Take one token, or return the seconds to wait for it."""
+        """Take one token and return 0, or return the seconds until there is one."""
         if not self.per_s:
             return 0.0
         now = time.monotonic()
@@ -106,7 +118,7 @@
 
 
 class DelayedValue:
-    """A value that is seen as it was some time ago."""
+    """A value whose changes become visible `lag_s` seconds later."""
 
     def __init__(self, lag_s: float, value: Any) -> None:
         self.lag_s = lag_s
@@ -119,7 +131,7 @@
         self.get()
 
     def get(self) -> Any:
-        """Return the newest value that is old enough to be seen."""
+        """Return the newest visible value."""
         cutoff = time.time() - self.lag_s
         while len(self.history) > 1 and self.history[1][0] <= cutoff:
             del self.history[0]
@@ -127,7 +139,26 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """The faults that any stand-in takes; what is counted applies to its work calls."""
+    """Faults that every stand-in supports.
+
+    The counted faults, `reject_next` and `lose_answers`, apply only to work requests
+    (see `StandIn.is_work`).
+
+    Attributes
+    ----------
+    crash : bool
+        The process exits at once; within another process only the server stops.
+    outage_s : float
+        Every request returns 503 for so many seconds.
+    freeze_s : float
+        No request is processed for so many seconds.
+    delay_s : float
+        Every request is processed so many seconds later.
+    reject_next : int
+        So many requests return 503 and are not executed.
+    lose_answers : int
+        So many requests are executed, but their connection closes without a response.
+    """
 
     crash: bool = False
     outage_s: float = 0.0
@@ -137,19 +168,20 @@
     lose_answers: int = 0
 
     def consume(self, name: str) -> bool:
-        """Use up one of a number of ordered faults; return whether one was left."""
+        """Decrement a counted fault; return whether it was above 0."""
         left = getattr(self, name)
         setattr(self, name, max(0, left - 1))
         return left > 0
 
 
 class App(Bottle):
-    """Bottle application that meets a stand-in's faults before it routes a call.
+    """Bottle application that applies a stand-in's faults before it routes a request.
 
-    Bottle keeps the current request and response in thread locals, which greenlets
-    share in a process without monkey patching. So whatever may block comes before
-    routing, a handler reads its request before it first blocks, and the first part of
-    an answer is there when the handler returns.
+    Bottle keeps the current request and response in thread locals, which all greenlets
+    share in a process without monkey patching, so another request may replace them
+    while a greenlet blocks. Therefore faults block before the routing, a handler reads
+    its request before it first blocks, and the first part of a response is ready when
+    the handler returns.
     """
 
     def __init__(self, stand_in: "StandIn") -> None:
@@ -158,7 +190,7 @@
         self.stand_in = stand_in
 
     def wsgi(self, environ: dict[str, Any], start_response: Callable) -> Iterable:
-        """Answer one call, or do to it what the ordered faults say."""
+        """Process one request, subject to the injected faults."""
         environ[BODY_KEY] = environ["wsgi.input"].read()
         if environ["PATH_INFO"] == "/faults":
             return super().wsgi(environ, start_response)
@@ -175,7 +207,7 @@
 
 
 class StandIn:
-    """A program that takes the place of one service, with faults to order."""
+    """Base class of the stand-ins: a simulated service with fault injection."""
 
     settings_type: type
     faults_type: type[Faults] = Faults
@@ -190,11 +222,11 @@
 
     @classmethod
     def from_config(cls, **settings: Any) -> "StandIn":
-        """Build the stand-in from its flags, spelt with underscores."""
+        """Create a stand-in from its flags, given as keyword arguments."""
         return cls(cls.settings_type(**settings))
 
     def route(self, method: str, path: str, handler: Callable, body: Any = None):
-        """Let a handler answer calls; it gets the body validated as `body`."""
+        """Route requests to a handler, with the body validated as the type `body`."""
 
         def call(**parts: str) -> HTTPResponse:
             result = handler(*([read_body(body)] if body else []), **parts)
@@ -203,17 +235,17 @@
         self.app.route(path, method, call)
 
     def start(self) -> None:
-        """Start what runs beside the calls."""
+        """Start background tasks."""
 
     def stop(self) -> None:
-        """End what runs beside the calls."""
+        """Stop background tasks."""
 
     def is_work(self, method: str, path: str) -> bool:
-        """Return whether counted faults apply to such a call."""
+        """Return whether counted faults apply to such a request."""
         return method != "GET"
 
     def post_faults(self) -> dict[str, Any]:
-        """Order faults; fields that aren't given stay as they are."""
+        """Inject faults; fields that aren't given keep their values."""
         order = read_body(self.faults_type)
         given = read_body(dict)
         for name in given:
@@ -222,7 +254,7 @@
         return {"ordered": sorted(given)}
 
     def apply_faults(self, given: dict[str, Any]) -> None:
-        """Let the faults that were just ordered begin."""
+        """Apply the faults in `given`, the fields of the last fault injection."""
         now = time.monotonic()
         if "outage_s" in given:
             self.outage_until = now + self.faults.outage_s
@@ -232,13 +264,13 @@
             self.crash()
 
     def in_outage(self) -> bool:
-        """Return whether every call fails at present."""
+        """Return whether there is an injected outage now."""
         return time.monotonic() < self.outage_until
 
     def apply_call_faults(self, work: bool) -> HTTPResponse | None:
-        """Hold a call up as ordered; return the refusal if it goes no further."""
-        while (frozen_s := self.frozen_until - time.monotonic()) > 0:
-            gevent.sleep(frozen_s)
+        """Delay a request as injected; return an error response if it is to fail."""
+        while (remaining_s := self.frozen_until - time.monotonic()) > 0:
+            gevent.sleep(remaining_s)
         if self.faults.delay_s:
             gevent.sleep(self.faults.delay_s)
         if self.in_outage():
@@ -249,7 +281,7 @@
 
 
 class Handler(WSGIHandler):
-    """Handler that shows its connection to the application and to the server."""
+    """Handler that registers its connection with the server and the application."""
 
     def handle(self) -> None:
         """Serve one connection."""
@@ -261,17 +293,18 @@
             self.server.connections.discard(connection)
 
     def get_environ(self) -> dict[str, Any]:
-        """Return the WSGI environment with the connection in it."""
+        """Return the WSGI environment, with the connection added."""
         return {**super().get_environ(), SOCKET_KEY: self.socket}
 
 
 def listen(port: int) -> socket.socket:
-    """Return a listening socket; port 0 is any free port."""
+    """Return a listening socket; port 0 selects a free port."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # Nagle's algorithm holds the second write of an answer back until the client
-    # acknowledges the first, which it delays: 40 ms a call on a kept connection, and
-    # streams of small events suffer the same. Accepted sockets inherit the option.
+    # With Nagle's algorithm the second write of a response waits until the client
+    # acknowledges the first one, and clients delay acknowledgements. This costs 40 ms a
+    # request on a keep-alive connection, and delays streams of small events likewise.
+    # Accepted sockets inherit the option.
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     listener.bind((HOST, port))
     listener.listen(BACKLOG)
@@ -279,7 +312,7 @@
 
 
 class Server:
-    """Listens on `port` of 127.0.0.1 for one stand-in."""
+    """HTTP server for one stand-in, on `port` of 127.0.0.1."""
 
     def __init__(self, stand_in: StandIn, port: int = 0) -> None:
         self.stand_in = stand_in
@@ -291,12 +324,12 @@
         self.wsgi.connections = set()
 
     def start(self) -> None:
-        """Begin to accept calls."""
+        """Start to accept connections."""
         self.stand_in.start()
         self.wsgi.start()
 
     def stop(self) -> None:
-        """End at once, as a process does: every connection closes unanswered."""
+        """Stop at once, as if the process ended: all connections close."""
         for connection in list(self.wsgi.connections):
             with suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
@@ -304,24 +337,24 @@
         self.stand_in.stop()
 
     def crash(self) -> None:
-        """Stop from within one of the server's own greenlets, which doesn't go on."""
+        """Stop from within one of the server's greenlets; this never returns."""
         gevent.spawn(self.stop)
         Event().wait()
 
 
 def serve(stand_in: StandIn, port: int = 0) -> Server:
-    """Start a stand-in inside the current process; a crash stops only its server."""
+    """Serve a stand-in within this process; a crash stops only its server."""
     server = Server(stand_in, port)
     stand_in.crash = server.crash
     server.start()
     return server
 
 
-def main(kind: type[StandIn]) -> None:
-    """Run a stand-in as a program; its flags are the fields of its settings."""
+def main(stand_in_type: type[StandIn]) -> None:
+    """Run a stand-in as a program, with the fields of its settings as flags."""
 
     def run(port: int = 0, **settings: Any) -> None:
-        server = Server(kind.from_config(**settings), port)
+        server = Server(stand_in_type.from_config(**settings), port)
         server.start()
         print(f"ready port={server.port}", flush=True)
         Event().wait()
--- a/packages/endive_standins/src/endive_standins/weights.py
+++ b/packages/endive_standins/src/endive_standins/weights.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's weight store."""
+"""Stand-in for the platform's store of model weights."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,14 +8,14 @@
 
 @dataclass
 class WeightsSettings:
-    """The store's flags; a rate of 0 is no limit."""
+    """Command-line flags of the store; a rate of 0 means no limit."""
 
     loads_per_s: float = 0.0
     size_bytes: int = 14_000_000_000
 
 
 class Weights(serving.StandIn):
-    """Rate-limited store in which every version has the same size."""
+    """Rate-limited store in which every model version has the same size."""
 
     settings_type = WeightsSettings
 
@@ -25,7 +25,7 @@
         self.route("GET", "/weights/<name:path>", self.get_weights)
 
     def get_weights(self, name: str) -> Any:
-        """Load a version, which comes to its size here."""
+        """Load a model version; the response has its size in place of the data."""
         wait_s = self.bucket.take()
         if wait_s:
             return serving.rate_limit_response(wait_s)
