--- a/packages/endive_standins/tests/conftest.py
+++ b/packages/endive_standins/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Builders and callers for the tests of the stand-ins."""
+"""Fixtures that send requests to stand-ins, with and without a socket."""
 
 import http.client
 import io
@@ -14,7 +14,7 @@
 
 
 def call_app(stand_in, method, path, body=None, **headers):
-    """Call a stand-in without a socket; return the status and the answer."""
+    """Send a request to the WSGI application; return the status and the body."""
     raw = b"" if body is None else json.dumps(body).encode()
     path, _, query = path.partition("?")
     environ = {"REQUEST_METHOD": method, "PATH_INFO": path, "QUERY_STRING": query}
@@ -28,7 +28,7 @@
 
 
 def stream_app(stand_in, path, body):
-    """Call for a stream; return its events."""
+    """Request a stream; return its events."""
     _, text = call_app(stand_in, "POST", path, {**body, "stream": True})
     lines = text.split("\n\n")
     assert lines.pop() == ""
@@ -37,12 +37,16 @@
 
 
 def request_once(port, method, path, body=None, connection=None):
-    """Call over a socket in a thread of its own; return the status and the answer."""
+    """Send a request over a socket, in a thread; return the status and the body."""
 
     def run():
-        client = connection or http.client.HTTPConnection("127.0.0.1", port, timeout=10)
-        client.request(method, path, None if body is None else json.dumps(body))
-        answer = client.getresponse()
+        http_connection = connection or http.client.HTTPConnection(
+            "127.0.0.1", port, timeout=10
+        )
+        http_connection.request(
+            method, path, None if body is None else json.dumps(body)
+        )
+        answer = http_connection.getresponse()
         return answer.status, answer.read()
 
     return gevent.get_hub().threadpool.apply(run)
--- a/packages/endive_standins/tests/test_batching.py
+++ b/packages/endive_standins/tests/test_batching.py
@@ -16,7 +16,7 @@
 
 
 class BatchHarness:
-    """A batch whose time the test moves on."""
+    """A batch with a manual clock."""
 
     def __init__(self, **settings):
         rates = {"decode_tokens_per_s": 10, "prefill_tokens_per_s": 64}
@@ -76,7 +76,7 @@
     assert len(second.tokens) == 1
 
 
-def test_cancelled_prefill_lets_the_next_begin():
+def test_cancelled_prefill_lets_the_next_one_start():
     harness = BatchHarness()
     first, second = harness.add(), harness.add("wxyz" * 64)
     harness.run_until(0.5)
@@ -92,7 +92,7 @@
     assert [len(sequence.tokens) for sequence in sequences] == [21] * 4
 
 
-def test_fast_engine_makes_a_whole_answer_in_the_first_step():
+def test_fast_engine_generates_a_whole_completion_in_the_first_step():
     harness = BatchHarness(decode_tokens_per_s=100_000, prefill_tokens_per_s=1e9)
     assert harness.add(max_tokens=100).finish_reason == "length"
 
@@ -105,7 +105,7 @@
     assert harness.started == [first, second]
 
 
-def test_higher_priority_waits_less_and_stops_nothing_that_runs():
+def test_higher_priority_starts_first_without_preemption():
     harness = BatchHarness(max_batch=1, prefill_tokens_per_s=1e9)
     running, low = harness.add(max_tokens=2), harness.add(max_tokens=2)
     high = harness.add(max_tokens=2, priority=1)
@@ -114,7 +114,7 @@
     assert running.finish_reason == high.finish_reason == "length"
 
 
-def test_full_queue_refuses_whichever_ranks_last():
+def test_full_queue_refuses_the_last_in_order():
     harness = BatchHarness(max_batch=1, max_waiting=1)
     harness.add()
     low, high, late = harness.add(), harness.add(priority=1), harness.add(priority=1)
@@ -123,7 +123,7 @@
     assert low.started_at is late.started_at is None
 
 
-def test_ended_sequence_makes_no_token_and_gives_its_place_up():
+def test_ended_sequence_generates_no_token_and_frees_its_place():
     harness = BatchHarness(max_batch=1, prefill_tokens_per_s=1e9)
     first, second = harness.add(max_tokens=100), harness.add()
     harness.batch.end(first, "cancelled")
@@ -156,14 +156,14 @@
 
 
 def test_resumed_tokens_in_the_prefix_cache_are_not_recomputed():
-    """A sequence comes back to the server that made its tokens and caches them."""
+    """A sequence is resumed on the server that still caches its tokens."""
     harness = BatchHarness(prefill_tokens_per_s=1e9, decode_tokens_per_s=1e9)
     first = harness.add(max_tokens=32)
     harness.add(max_tokens=33, tokens=list(first.tokens), attempt=1)
     assert harness.batch.counts.recomputed_tokens == 0
 
 
-def test_next_work_is_never_due_within_the_step_that_was_done():
+def test_next_work_is_due_only_after_the_completed_step():
     harness = BatchHarness()
     harness.add(max_tokens=30)
     while (due := harness.batch.next_due()) is not None:
--- a/packages/endive_standins/tests/test_cloud.py
+++ b/packages/endive_standins/tests/test_cloud.py
@@ -29,7 +29,7 @@
 
 
 def test_same_client_token_launches_one_instance(call, cloud):
-    """The answer to a launch was lost, and the caller asks again."""
+    """The response to a launch is lost, and the caller retries."""
     call(cloud, "POST", "/faults", {"lose_answers": 1})
     with pytest.raises(BrokenPipeError):
         launch(call, cloud, "t1")
@@ -52,21 +52,21 @@
     assert launch(call, cloud, "t1")[0] == 200
 
 
-def test_ended_instance_leaves_the_list(call, cloud):
+def test_terminated_instance_is_removed_from_the_list(call, cloud):
     _, answer = launch(call, cloud, "t1")
     assert call(cloud, "DELETE", f"/instances/{answer['id']}")[0] == 200
     assert listed(call, cloud) == []
     assert call(cloud, "DELETE", f"/instances/{answer['id']}")[0] == 404
 
 
-def test_zone_reclaim_gives_notice_and_takes_what_is_reclaimable(call, cloud):
-    _, lost = launch(call, cloud, "t1")
+def test_zone_reclaim_gives_notice_and_terminates_reclaimable_instances(call, cloud):
+    _, reclaimed = launch(call, cloud, "t1")
     _, kept = launch(call, cloud, "t2", reclaimable=False)
     _, elsewhere = launch(call, cloud, "t3", zone="zone-b")
     call(cloud, "POST", "/notices", {"zone": "zone-a", "seconds": 0.1})
     notices = call(cloud, "GET", "/notices")[1]["notices"]
     assert [(n["instance"], n["zone"]) for n in notices] == [
-        (lost["id"], "zone-a"),
+        (reclaimed["id"], "zone-a"),
         (None, "zone-a"),
     ]
     assert all(0 < n["seconds_left"] <= 0.1 for n in notices)
@@ -75,7 +75,7 @@
     assert call(cloud, "GET", "/notices")[1] == {"notices": []}
 
 
-def test_instance_from_elsewhere_can_be_reclaimed(call, cloud):
+def test_instance_that_the_cloud_did_not_launch_can_be_reclaimed(call, cloud):
     call(cloud, "POST", "/notices", {"instance": "node-1", "seconds": 30})
     (notice,) = call(cloud, "GET", "/notices")[1]["notices"]
     assert (notice["instance"], notice["zone"]) == ("node-1", None)
--- a/packages/endive_standins/tests/test_engine.py
+++ b/packages/endive_standins/tests/test_engine.py
@@ -35,7 +35,7 @@
     return [event["choices"][0]["text"] for event in events]
 
 
-def test_whole_answer_has_the_usual_shape(call, build):
+def test_complete_response_has_the_usual_fields(call, build):
     _, body = call(build(), "POST", COMPLETIONS, {**CALL, "model": "quotes"})
     assert (body["object"], body["model"]) == ("text_completion", "quotes")
     text = "".join(tokens("hello", *range(6)))
@@ -52,7 +52,7 @@
     assert body["choices"][0]["message"] == message
 
 
-def test_stream_is_formatted_as_the_page_says(call, build):
+def test_stream_has_the_documented_format(call, build):
     body = {**CALL, "max_tokens": 2, "attempt": 3, "stream": True}
     _, text = call(build(), "POST", COMPLETIONS, body)
     first, second = tokens("hello", 0, 1)
@@ -66,21 +66,21 @@
     )
 
 
-def test_resumed_stream_goes_on_after_the_tokens_so_far(stream, build):
+def test_resumed_stream_continues_after_the_given_tokens(stream, build):
     resume = {"tokens": tokens("hello", 0, 1)}
     events = stream(build(), COMPLETIONS, {**CALL, "resume": resume})
     assert [event["index"] for event in events] == [2, 3, 4, 5]
     assert texts(events) == tokens("hello", 2, 3, 4, 5)
 
 
-def test_resume_of_a_whole_answer_ends_at_once(stream, build):
+def test_resume_of_a_finished_completion_ends_at_once(stream, build):
     resume = {"tokens": tokens("hello", *range(6))}
     (event,) = stream(build(), CHAT, {"max_tokens": 6, "resume": resume})
     choice = {"index": 0, "delta": {"content": ""}, "finish_reason": "length"}
     assert event["choices"] == [choice]
 
 
-def test_slow_stream_comes_token_by_token(call, build):
+def test_completion_takes_the_time_of_its_decode_rate(call, build):
     engine = build(decode_tokens_per_s=100)
     start = time.monotonic()
     _, body = call(engine, "POST", COMPLETIONS, {**CALL, "max_tokens": 21})
@@ -88,7 +88,7 @@
     assert body["usage"]["completion_tokens"] == 21
 
 
-def test_full_engine_refuses_without_running(call, build):
+def test_full_engine_refuses_without_executing(call, build):
     engine = build(max_batch=1, max_waiting=0, decode_tokens_per_s=1)
     gevent.spawn(call, engine, "POST", COMPLETIONS, CALL)
     gevent.sleep(0.05)
@@ -97,7 +97,7 @@
     assert call(engine, "GET", "/stats")[1]["executions"] == {"r1": 1}
 
 
-def test_cancelled_request_stops_and_gives_its_tokens(call, stream, build):
+def test_cancelled_request_stops_and_returns_its_tokens(call, stream, build):
     engine = build(decode_tokens_per_s=50)
     caller = gevent.spawn(stream, engine, COMPLETIONS, {**CALL, "max_tokens": 999})
     gevent.sleep(0.1)
@@ -115,7 +115,7 @@
     assert answer == (200, {"stopped": False, "known": False})
 
 
-def test_exported_sequence_goes_on_elsewhere_without_prefill(call, build):
+def test_exported_sequence_continues_on_another_engine_without_prefill(call, build):
     source, target = build(decode_tokens_per_s=100), build()
     gevent.spawn(call, source, "POST", COMPLETIONS, {**CALL, "max_tokens": 99})
     gevent.sleep(0.1)
@@ -156,8 +156,8 @@
 @pytest.mark.parametrize(
     ("checks_fencing", "status", "version"), [(True, 409, "new"), (False, 200, "old")]
 )
-def test_order_with_an_old_fence(call, build, checks_fencing, status, version):
-    """A holder that lost its lease while it paused sends its order late."""
+def test_order_with_an_old_fencing_token(call, build, checks_fencing, status, version):
+    """A process pauses, loses its lease meanwhile, and then sends its order."""
     engine = build(checks_fencing=checks_fencing)
     new = {"order_id": "o2", "fence": 2, "desired": {"version": "new"}}
     old = {"order_id": "o1", "fence": 1, "desired": {"version": "old"}}
@@ -166,8 +166,8 @@
     assert call(engine, "GET", "/state")[1]["desired"]["version"] == version
 
 
-def test_prompt_ordered_to_crash_ends_the_server(call, serve, over_socket):
-    """One request crashes each server that runs it; the others' answers are lost."""
+def test_prompt_that_matches_the_crash_fault_ends_the_server(call, serve, over_socket):
+    """A request crashes every server that runs it, and other responses are lost."""
     engine = Engine.from_config(**FAST)
     port = serve(engine).port
     call(engine, "POST", "/faults", {"crash_on": "ell"})
@@ -178,7 +178,7 @@
         over_socket(port, "GET", "/load")
 
 
-def test_dropped_stream_ends_without_its_end(call, serve, over_socket):
+def test_dropped_stream_is_cut_off(call, serve, over_socket):
     engine = Engine.from_config(**FAST)
     port = serve(engine).port
     call(engine, "POST", "/faults", {"drop_after": 2})
@@ -190,7 +190,7 @@
     assert text.endswith(b"data: [DONE]\n\n")
 
 
-def test_sequence_of_a_client_that_left_is_cancelled(serve):
+def test_sequence_of_a_disconnected_client_is_cancelled(serve):
     engine = Engine.from_config(decode_tokens_per_s=20)
     port = serve(engine).port
     body = b'{"prompt": "hello", "max_tokens": 999}'
@@ -205,7 +205,7 @@
             gevent.sleep(0.01)
 
 
-def test_frozen_engine_makes_no_token_until_it_thaws(call, build):
+def test_frozen_engine_generates_no_token_until_the_freeze_ends(call, build):
     engine = build(decode_tokens_per_s=100)
     caller = gevent.spawn(call, engine, "POST", COMPLETIONS, {**CALL, "max_tokens": 31})
     gevent.sleep(0.1)
@@ -232,8 +232,8 @@
         ({"foreign": 3}, [0, 1, 2, 2, 3, 4, 5, 5]),
     ],
 )
-def test_garbled_stream(call, stream, build, garble, indexes):
-    """Pieces of an answer come twice, out of order or from a stranger's request."""
+def test_stream_faults(call, stream, build, garble, indexes):
+    """Events arrive twice, out of order, or from another request."""
     engine = build()
     call(engine, "POST", "/faults", {"garble": garble})
     events = stream(engine, COMPLETIONS, CALL)
--- a/packages/endive_standins/tests/test_instances.py
+++ b/packages/endive_standins/tests/test_instances.py
@@ -5,7 +5,7 @@
 ENTRY = {"address": "127.0.0.1:1", "zone": "neihu", "role": "draft"}
 
 
-def test_list_follows_the_truth_late(call):
+def test_list_shows_changes_after_the_delay(call):
     instances = Instances.from_config(lag_s=0.1)
     call(instances, "PUT", "/instances/i1", ENTRY)
     assert call(instances, "GET", "/instances")[1] == {"instances": []}
@@ -17,7 +17,7 @@
     assert call(instances, "GET", "/instances")[1] == {"instances": []}
 
 
-def test_state_that_is_unknown_is_refused(call):
+def test_unknown_state_is_rejected(call):
     instances = Instances.from_config()
     status, _ = call(instances, "PUT", "/instances/i1", {**ENTRY, "state": "gone"})
     assert status == 400
--- a/packages/endive_standins/tests/test_log.py
+++ b/packages/endive_standins/tests/test_log.py
@@ -35,20 +35,20 @@
     assert read(call, log) == (200, {"first": 0, "next": 0, "records": []})
 
 
-def test_reader_waits_for_the_record_it_asks_for(call, log):
+def test_reader_waits_for_the_requested_record(call, log):
     gevent.spawn_later(0.05, call, log, "POST", RECORDS, {"records": ["late"]})
     _, page = read(call, log, "from=0&wait_s=5")
     assert page["records"][0]["body"] == "late"
 
 
 def test_outage_ends_a_wait(call, log):
-    """A reader that waits through an outage would take the log to be up."""
+    """A read that kept waiting during an outage would look like a log that works."""
     gevent.spawn_later(0.05, call, log, "POST", "/faults", {"outage_s": 1})
     assert read(call, log, "from=0&wait_s=5")[0] == 503
 
 
 @pytest.mark.parametrize("body", [{"records": []}, {"records": ["a", 1]}, {}])
-def test_append_that_is_not_valid_writes_nothing(call, log, body):
+def test_invalid_append_writes_nothing(call, log, body):
     assert call(log, "POST", RECORDS, body)[0] == 400
     assert log.streams == {}
 
@@ -61,8 +61,8 @@
     assert 0 < answers[2][1]["error"]["retry_after_s"] <= 0.5
 
 
-def test_late_append_answers_first_and_takes_effect_later(call, log):
-    """An append times out, and its record turns up after the writer gave up on it."""
+def test_delayed_append_returns_504_and_is_applied_later(call, log):
+    """An append times out, and its record appears after the writer gave up."""
     late = {"count": 1, "delay_s": 0.05}
     call(log, "POST", "/faults", {"late_appends": late})
     assert call(log, "POST", RECORDS, {"records": ["late"]})[0] == 504
@@ -72,7 +72,7 @@
     assert [r["body"] for r in read(call, log)[1]["records"]] == ["next", "late"]
 
 
-def test_forgotten_offset_is_gone_and_names_the_first_kept(call, log):
+def test_read_below_the_first_offset_returns_410_with_the_first_offset(call, log):
     call(log, "POST", RECORDS, {"records": list("abc")})
     call(log, "POST", "/faults", {"forget_before": {"stream": "s", "offset": 2}})
     status, body = read(call, log)
--- a/packages/endive_standins/tests/test_plain.py
+++ b/packages/endive_standins/tests/test_plain.py
@@ -17,7 +17,7 @@
     }
 
 
-def test_executions_count_runs_and_no_refusals(call):
+def test_executions_exclude_refused_requests(call):
     plain = Plain.from_config()
     call(plain, "POST", "/faults", {"reject_next": 1})
     status, body = call(plain, "POST", "/book", HTTP_X_REQUEST_ID="r1")
@@ -26,7 +26,7 @@
     assert call(plain, "GET", "/stats")[1] == {"executions": {"r1": 1}}
 
 
-def test_lost_answer_counts_as_a_run(call):
+def test_request_with_a_lost_response_counts_as_executed(call):
     plain = Plain.from_config()
     call(plain, "POST", "/faults", {"lose_answers": 1})
     with pytest.raises(BrokenPipeError):
@@ -34,7 +34,7 @@
     assert plain.executions == {"r1": 1}
 
 
-def test_load_lags(call):
+def test_load_is_reported_after_the_delay(call):
     plain = Plain.from_config(service_s=0.2, report_lag_s=0.1)
     gevent.spawn(call, plain, "POST", "/book")
     gevent.sleep(0.05)
--- a/packages/endive_standins/tests/test_prefixes.py
+++ b/packages/endive_standins/tests/test_prefixes.py
@@ -23,7 +23,7 @@
     assert cache.cached_prefix_length(list("xbcd")) == 0
 
 
-def test_least_recently_used_prefix_loses_its_end_first():
+def test_least_recently_used_prefix_is_evicted_from_its_end():
     cache, events = cache_of(3)
     cache.store(list("abcd"))
     cache.store(list("wxyz"))
@@ -32,7 +32,7 @@
     assert events[-1] == ("evicted", block_hashes(list("abcd"), 2)[1:])
 
 
-def test_events_come_late():
+def test_events_become_visible_after_the_delay():
     events = CacheEvents(lag_s=0.05, loss_probability=0.0, seed=0)
     events.add("stored", ["h"])
     assert events.read(0) == {"events": [], "next": 0}
--- a/packages/endive_standins/tests/test_serving.py
+++ b/packages/endive_standins/tests/test_serving.py
@@ -21,10 +21,11 @@
     return time.perf_counter() - start
 
 
-def test_kept_connection_answers_as_fast_as_a_new_one(serve, over_socket):
-    """Nagle's algorithm holds the second write of an answer back on a kept connection.
+def test_keep_alive_connection_is_as_fast_as_a_new_one(serve, over_socket):
+    """With Nagle's algorithm the second write of a response waits for an ACK.
 
-    The client acknowledges the first write late, so each call takes 40 ms more.
+    On a keep-alive connection the client delays the ACK, so that each request takes
+    40 ms more.
     """
     port = serve(Weights.from_config()).port
     kept = http.client.HTTPConnection("127.0.0.1", port)
@@ -37,8 +38,10 @@
     assert statistics.median(kept_s) < 5 * statistics.median(fresh_s)
 
 
-def test_lost_answer_takes_effect_and_closes_the_connection(serve, over_socket, call):
-    """The service applies an append, but the answer never reaches the writer."""
+def test_request_with_a_lost_response_is_applied_and_its_connection_closed(
+    serve, over_socket, call
+):
+    """The service applies an append, but the response never reaches the writer."""
     log = Log.from_config()
     port = serve(log).port
     call(log, "POST", "/faults", {"lose_answers": 1})
@@ -48,7 +51,7 @@
     assert log.streams["s"].next == 2
 
 
-def test_refused_append_uses_up_no_lost_answer(call):
+def test_refused_append_does_not_count_as_a_lost_response(call):
     log = Log.from_config()
     call(log, "POST", "/faults", {"lose_answers": 1, "reject_next": 1})
     assert call(log, "POST", "/streams/s/records", APPEND)[0] == 503
@@ -56,10 +59,8 @@
         call(log, "POST", "/streams/s/records", APPEND)
 
 
-def test_crash_ends_the_embedded_server_and_leaves_calls_unanswered(
-    serve, over_socket, call
-):
-    """The process dies while calls are under way; their connections just close."""
+def test_crash_stops_the_embedded_server_without_responses(serve, over_socket, call):
+    """The process crashes during requests; their connections close."""
     plain = Plain.from_config(service_s=5.0)
     server = serve(plain)
     pending = gevent.spawn(over_socket, server.port, "POST", "/work")
@@ -73,7 +74,7 @@
         over_socket(server.port, "GET", "/load")
 
 
-def test_program_says_when_it_is_ready_and_exits_on_a_crash():
+def test_program_prints_when_it_is_ready_and_exits_on_a_crash():
     command = [sys.executable, "-m", "endive_standins.plain", "--id", "p7"]
     with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as program:
         try:
@@ -87,10 +88,10 @@
             program.kill()
 
 
-def test_calls_that_wait_at_once_get_their_own_answers(serve, over_socket):
-    """Greenlets of an unpatched process share bottle's thread locals.
+def test_concurrent_waiting_requests_get_their_own_responses(serve, over_socket):
+    """Without monkey patching, all greenlets share bottle's thread locals.
 
-    A call that waits would then answer with the status of one that came later.
+    A waiting request would then respond with the status of a later one.
     """
     port = serve(Log.from_config()).port
     wait = "/streams/s/records?from=0&wait_s=0.3"
@@ -110,23 +111,23 @@
 
 
 @pytest.mark.parametrize("fault", ["freeze_s", "delay_s"])
-def test_freeze_and_delay_hold_calls_up(call, fault):
+def test_freeze_and_delay_delay_requests(call, fault):
     instances = Instances.from_config()
 
-    def order_and_call():
-        # A freeze begins with its order, so some of it is over when the call begins.
+    def inject_and_call():
+        # A freeze starts when it is injected, so part of it has passed at the request.
         call(instances, "POST", "/faults", {fault: 0.1})
         call(instances, "GET", "/instances")
 
-    assert timed(order_and_call) >= 0.1
+    assert timed(inject_and_call) >= 0.1
 
 
-def test_unknown_fault_is_refused(call):
+def test_unknown_fault_is_rejected(call):
     status, body = call(Plain.from_config(), "POST", "/faults", {"crsh": True})
     assert (status, body["error"]["code"]) == (400, "invalid")
 
 
-def test_second_order_leaves_other_faults_alone(call):
+def test_fault_injection_keeps_other_faults(call):
     plain = Plain.from_config()
     call(plain, "POST", "/faults", {"reject_next": 2})
     call(plain, "POST", "/faults", {"delay_s": 0.0})
