--- a/packages/endive_ctl/src/endive_ctl/cli.py
+++ b/packages/endive_ctl/src/endive_ctl/cli.py
@@ -167,11 +167,11 @@
         ]
         if not lines:
             raise FileError(f"no log line of request {request_id} in the given files")
-        response = {"lines": [dataclasses.asdict(line) for line in lines]}
-        self._show(response, tables.trace(lines))
+        body = {"lines": [dataclasses.asdict(line) for line in lines]}
+        self._show(body, tables.trace(lines))
 
-    def _show(self, response: dict, text: str) -> None:
-        print(json_text(response) if self._json else text, flush=True)
+    def _show(self, body: dict, text: str) -> None:
+        print(json_text(body) if self._json else text, flush=True)
 
 
 def applied_line(name: str, response: dict) -> str:
--- a/packages/endive_ctl/src/endive_ctl/loglines.py
+++ b/packages/endive_ctl/src/endive_ctl/loglines.py
@@ -55,8 +55,8 @@
     found = [line for path in paths for line in _read(path)]
     if not found:
         raise FileError("no log line with event=... in the given files")
-    # Lines hold a time of day without a date. Each is placed within half a day before
-    # or after the first line read, so that logs may span midnight.
+    # Only the time of day is parsed. Each line is placed within half a day before or
+    # after the first line read, so that logs may span midnight.
     reference = found[0].at
     times = [(line.at - reference + DAY_S / 2) % DAY_S for line in found]
     start = min(times)
--- a/packages/endive_ctl/src/endive_ctl/losses.py
+++ b/packages/endive_ctl/src/endive_ctl/losses.py
@@ -1,5 +1,6 @@
-"""Loss report: the requests in gateways' logs, each counted under exactly one cause.
+"""Loss report: counts the requests in gateways' logs by outcome or cause of lateness.
 
+Each request has exactly one cause, so the counts add up to the number of requests.
 A gateway logs a request from its first byte to the end of its response. Requests that
 arrived while a node accepted no connections are in no log; they show only as downtime
 of the node (``dark_s``).
@@ -59,7 +60,7 @@
     by_route, by_time : dict
         Number of requests by cause, for each route and for each time interval.
     dark_s : dict of str to float
-        Downtime of each node, seconds: the gaps in its log before its starts.
+        Downtime of each node, seconds: the gaps in its log before each start.
     servers_s : dict
         Server seconds ordered, by service and kind.
     prompt_tokens, uncached_tokens : float
--- a/packages/endive_ctl/tests/test_loglines.py
+++ b/packages/endive_ctl/tests/test_loglines.py
@@ -24,10 +24,10 @@
 
 
 def test_logs_may_span_midnight(tmp_path):
-    """Log lines hold no date.
+    """Only the time of day of a log line is parsed.
 
-    Sorted by time of day alone, lines from after midnight would come before those
-    from before midnight.
+    Sorted by it alone, lines from after midnight would come before those from before
+    midnight.
     """
     before = log_line("start", at=86_399)
     after = log_line("stopped", at=1)
--- a/packages/endive_standins/src/endive_standins/cloud.py
+++ b/packages/endive_standins/src/endive_standins/cloud.py
@@ -25,7 +25,7 @@
 class ReclaimOrder(msgspec.Struct):
     """The body of a request to reclaim an instance, or a zone's reclaimable instances.
 
-    `seconds` is the time from the notice to the end of the instances.
+    `seconds` is the time from the notice until the instances are terminated.
     """
 
     seconds: float
--- a/packages/endive_standins/src/endive_standins/engine.py
+++ b/packages/endive_standins/src/endive_standins/engine.py
@@ -93,7 +93,7 @@
     slow_factor : float
         Factor by which all work takes longer.
     drop_after : int or None
-        The next stream is cut off after so many tokens.
+        The next stream is cut off after this many tokens.
     garble : StreamCorruption or None
         Faults of the events of each stream.
     """
@@ -387,7 +387,7 @@
         return self.events.read(serving.query_parameter("from", int, 0))
 
     def post_orders(self, order: Order) -> Any:
-        """Apply an order, unless fencing is checked and its fencing token is old."""
+        """Apply an order, unless fencing is checked and its token is out of date."""
         highest = self.state["fence"]
         if self.settings.checks_fencing and order.fence < highest:
             return serving.error_response(409, "stale_fence", fence=highest)
--- a/packages/endive_standins/src/endive_standins/plain.py
+++ b/packages/endive_standins/src/endive_standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain HTTP service, which is no model engine."""
+"""Stand-in for a plain HTTP service: a backend server that isn't a model engine."""
 
 import time
 from collections import Counter
--- a/packages/endive_standins/src/endive_standins/prefixes.py
+++ b/packages/endive_standins/src/endive_standins/prefixes.py
@@ -13,7 +13,7 @@
 
 
 def block_hashes(tokens: list[str], block_tokens: int) -> list[str]:
-    """Return the hashes of the full blocks of a prefix, each chained to the last."""
+    """Return the hashes of the full blocks, each chained to the one before."""
     hashes: list[str] = []
     parent = ""
     for end in range(block_tokens, len(tokens) + 1, block_tokens):
--- a/packages/endive_standins/src/endive_standins/serving.py
+++ b/packages/endive_standins/src/endive_standins/serving.py
@@ -96,7 +96,7 @@
 
 
 class TokenBucket:
-    """Rate limit with a burst of one second; a rate of 0 is no limit."""
+    """Rate limit with a burst of one second; a rate of 0 means no limit."""
 
     def __init__(self, per_s: float) -> None:
         self.per_s = per_s
@@ -149,15 +149,15 @@
     crash : bool
         The process exits at once; within another process only the server stops.
     outage_s : float
-        Every request returns 503 for so many seconds.
+        Every request returns 503 for this time, seconds.
     freeze_s : float
-        No request is processed for so many seconds.
+        No request is processed for this time, seconds.
     delay_s : float
-        Every request is processed so many seconds later.
+        Delay of every request, seconds.
     reject_next : int
-        So many requests return 503 and are not executed.
+        Number of next requests that return 503 and are not executed.
     lose_answers : int
-        So many requests are executed, but their connection closes without a response.
+        Number of next successful requests whose connection closes without a response.
     """
 
     crash: bool = False
