--- a/packages/endive_ctl/src/endive_ctl/loglines.py
+++ b/packages/endive_ctl/src/endive_ctl/loglines.py
@@ -1,4 +1,4 @@
-"""Lines of the gateways' logs, read back."""
+"""Parsing of the gateways' log files."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -7,11 +7,11 @@
 
 from endive_ctl.files import FileError
 
-LINE = re.compile(
+LOG_LINE_PATTERN = re.compile(
     r"(?:(?P<node>\S+) )?[IWEF]\d{4} (?P<hours>\d\d):(?P<minutes>\d\d):"
     r"(?P<seconds>\d\d\.\d+) +\d+ \S+\] (?P<event>event=.*)"
 )
-PAIR = re.compile(r'(\w+)=("[^"]*"|\S+)')
+FIELD_PATTERN = re.compile(r'(\w+)=("[^"]*"|\S+)')
 DAY_S = 86_400.0
 
 
@@ -24,9 +24,11 @@
     at : float
         Seconds since the earliest line.
     node : str
-        What the collector of the logs put before the line; empty if nothing.
+        The prefix that the log collector put before the line; empty without one.
+    event : str
+        The event's name.
     fields : dict of str to str
-        The key=value pairs, the event's name left out.
+        The other key=value pairs.
     """
 
     at: float
@@ -35,7 +37,7 @@
     fields: dict[str, str]
 
     def number(self, key: str) -> float:
-        """Return a field as a number; 0 where it is missing or none."""
+        """Return a field as a number; 0 if it is missing or not a number."""
         try:
             return float(self.fields.get(key, 0.0))
         except ValueError:
@@ -43,19 +45,20 @@
 
 
 def read_lines(paths: Iterable[str | Path]) -> list[LogLine]:
-    """Return the events in log files, in order of time; other lines are left out.
+    """Return the events in log files, sorted by time; other lines are ignored.
 
     Raises
     ------
     FileError
-        If a file can't be read, or none holds an event.
+        If a file can't be read, or no file contains an event.
     """
     found = [line for path in paths for line in _read(path)]
     if not found:
-        raise FileError("no line with event=... in these files")
-    # Half a day either side of the first line read, so that logs may span midnight.
-    middle = found[0].at
-    times = [(line.at - middle + DAY_S / 2) % DAY_S for line in found]
+        raise FileError("no log line with event=... in the given files")
+    # Only the time of day is parsed. Each line is placed within half a day before or
+    # after the first line read, so that logs may span midnight.
+    reference = found[0].at
+    times = [(line.at - reference + DAY_S / 2) % DAY_S for line in found]
     start = min(times)
     lines = [
         replace(line, at=at - start) for line, at in zip(found, times, strict=True)
@@ -68,8 +71,11 @@
         text = Path(path).read_text(encoding="utf-8", errors="replace")
     except OSError as error:
         raise FileError(f"{path}: {error.strerror}") from None
-    for match in LINE.finditer(text):
-        pairs = {key: value.strip('"') for key, value in PAIR.findall(match["event"])}
+    for match in LOG_LINE_PATTERN.finditer(text):
+        pairs = {
+            key: value.strip('"')
+            for key, value in FIELD_PATTERN.findall(match["event"])
+        }
         clock = int(match["hours"]) * 3600 + int(match["minutes"]) * 60
         at = clock + float(match["seconds"])
         yield LogLine(at, match["node"] or "", pairs.pop("event"), pairs)
--- a/packages/endive_standins/src/endive_standins/prefixes.py
+++ b/packages/endive_standins/src/endive_standins/prefixes.py
@@ -1,4 +1,4 @@
-"""Prefix cache of a model engine, and the events that it publishes."""
+"""Simulated prefix cache of a model engine, and the events that it publishes."""
 
 import random
 from collections import OrderedDict, deque
@@ -7,13 +7,13 @@
 
 import xxhash
 
-from endive_standins.serving import Delayed
+from endive_standins.serving import DelayedValue
 
-KEPT_EVENTS = 4096
+MAX_RETAINED_EVENTS = 4096
 
 
 def block_hashes(tokens: list[str], block_tokens: int) -> list[str]:
-    """Return the chained hashes of the full blocks of a prefix."""
+    """Return the hashes of the full blocks, each chained to the one before."""
     hashes: list[str] = []
     parent = ""
     for end in range(block_tokens, len(tokens) + 1, block_tokens):
@@ -24,16 +24,16 @@
 
 
 class PrefixCache:
-    """Bounded set of blocks; the least recently used goes first."""
+    """Set of blocks with LRU eviction; `on_change` is called with each change."""
 
-    def __init__(self, capacity: int, block_tokens: int, report: Callable) -> None:
+    def __init__(self, capacity: int, block_tokens: int, on_change: Callable) -> None:
         self.capacity = capacity
         self.block_tokens = block_tokens
-        self.report = report
+        self.on_change = on_change
         self.blocks: OrderedDict[str, None] = OrderedDict()
 
-    def covered(self, tokens: list[str]) -> int:
-        """Return how many leading tokens are cached."""
+    def cached_prefix_length(self, tokens: list[str]) -> int:
+        """Return the number of leading tokens whose blocks are cached."""
         hashes = block_hashes(tokens, self.block_tokens)
         missing = (i for i, block in enumerate(hashes) if block not in self.blocks)
         return next(missing, len(hashes)) * self.block_tokens
@@ -42,8 +42,8 @@
         """Cache the full blocks of a prefix."""
         hashes = block_hashes(tokens, self.block_tokens)[: self.capacity]
         stored = [block for block in hashes if block not in self.blocks]
-        # A block is of use only with all blocks before it, so the first block counts
-        # as the most recently used, and a prefix loses its end first.
+        # A block can be reused only with all blocks before it. So the first block is
+        # marked as the most recently used, and a prefix is evicted from its end.
         for block in reversed(hashes):
             self.blocks[block] = None
             self.blocks.move_to_end(block)
@@ -51,28 +51,40 @@
         evicted = [self.blocks.popitem(last=False)[0] for _ in excess]
         for kind, blocks in (("stored", stored), ("evicted", evicted)):
             if blocks:
-                self.report(kind, blocks)
+                self.on_change(kind, blocks)
 
 
 class CacheEvents:
-    """Numbered events, seen late and with gaps."""
-
-    def __init__(self, lag_s: float, gap: float, seed: int) -> None:
-        self.gap = gap
+    """Numbered events that become visible after a delay and may be lost.
+
+    Parameters
+    ----------
+    lag_s : float
+        Delay until an event is visible, seconds.
+    loss_probability : float
+        Probability that an event is lost; its number is then missing.
+    seed : int
+        Seed of the random losses.
+    """
+
+    def __init__(self, lag_s: float, loss_probability: float, seed: int) -> None:
+        self.loss_probability = loss_probability
         self.random = random.Random(seed)
-        self.next = 0
-        self.seen = Delayed(lag_s, 0)
-        self.events: deque[dict[str, Any]] = deque(maxlen=KEPT_EVENTS)
+        self.next_seq = 0
+        self.visible_next = DelayedValue(lag_s, 0)
+        self.events: deque[dict[str, Any]] = deque(maxlen=MAX_RETAINED_EVENTS)
 
     def add(self, kind: str, blocks: list[str]) -> None:
-        """Publish an event, or lose it."""
-        if self.random.random() >= self.gap:
-            self.events.append({"seq": self.next, "kind": kind, "blocks": blocks})
-        self.next += 1
-        self.seen.set(self.next)
-
-    def view(self, start: int) -> dict[str, Any]:
-        """Return the events from a number on that can be seen by now."""
-        seen = self.seen.get()
-        events = [event for event in self.events if start <= event["seq"] < seen]
-        return {"events": events, "next": seen}
+        """Publish an event, or lose it at random."""
+        if self.random.random() >= self.loss_probability:
+            self.events.append({"seq": self.next_seq, "kind": kind, "blocks": blocks})
+        self.next_seq += 1
+        self.visible_next.set(self.next_seq)
+
+    def read(self, start: int) -> dict[str, Any]:
+        """Return the visible events with numbers from `start` on."""
+        visible_next = self.visible_next.get()
+        events = [
+            event for event in self.events if start <= event["seq"] < visible_next
+        ]
+        return {"events": events, "next": visible_next}
--- a/packages/endive_standins/src/endive_standins/answers.py
+++ b/packages/endive_standins/src/endive_standins/responses.py
@@ -1,4 +1,4 @@
-"""How a model engine words its answers, whole or as server-sent events."""
+"""Bodies of a model engine's responses: complete, or as server-sent events."""
 
 import json
 import time
@@ -6,11 +6,21 @@
 
 import msgspec
 
-from endive_standins.batching import Sequence, answer_token
+from endive_standins.batching import Sequence, completion_token
 
 
-class Garble(msgspec.Struct):
-    """Every how many events a stream goes wrong in which way; 0 is never."""
+class StreamCorruption(msgspec.Struct):
+    """Faults of an event stream; each applies to every n-th event, and 0 is never.
+
+    Attributes
+    ----------
+    repeat : int
+        The event is sent twice.
+    reorder : int
+        The event is sent after the next one.
+    foreign : int
+        An event of another request is sent before it.
+    """
 
     repeat: int = 0
     reorder: int = 0
@@ -18,16 +28,16 @@
 
 
 def usage(sequence: Sequence) -> dict[str, int]:
-    """Return the token counts of a whole answer."""
+    """Return the token counts of a completion."""
     return {
         "prompt_tokens": len(sequence.prompt_tokens),
         "completion_tokens": len(sequence.tokens),
-        "cached_tokens": sequence.covered,
+        "cached_tokens": sequence.reused_tokens,
     }
 
 
-def whole(sequence: Sequence, chat: bool, model: str) -> dict[str, Any]:
-    """Return an answer that isn't streamed."""
+def completion_body(sequence: Sequence, chat: bool, model: str) -> dict[str, Any]:
+    """Return the body of a response that isn't streamed."""
     text = "".join(sequence.tokens)
     message = {"message": {"role": "assistant", "content": text}}
     choice = {"index": 0, **(message if chat else {"text": text})}
@@ -44,27 +54,31 @@
 
 
 class EventWriter:
-    """Writes the events of one stream, or garbles them as ordered."""
+    """Formats the events of one stream, with the injected stream faults."""
 
-    def __init__(self, sequence: Sequence, chat: bool, garble: Garble | None) -> None:
+    def __init__(
+        self, sequence: Sequence, chat: bool, corruption: StreamCorruption | None
+    ) -> None:
         self.sequence = sequence
         self.chat = chat
-        self.garble = garble or Garble()
+        self.corruption = corruption or StreamCorruption()
         self.count = 0
-        self.held = ""
+        self.held_events = ""
 
     def write(self, index: int, text: str, last: bool) -> str:
-        """Return what is sent when a token is due."""
+        """Return the text to send for one token; empty if its event is delayed."""
         self.count += 1
         event = self._event(index, text, last)
-        lines = encode(event) * (2 if self._is_nth(self.garble.repeat) else 1)
-        if self._is_nth(self.garble.foreign):
-            lines = encode(self._foreign(index)) + lines
-        held_back = self._is_nth(self.garble.reorder) and not self.held and not last
-        if held_back and self.count > 1:
-            self.held = lines
+        lines = encode_event(event) * (2 if self._is_nth(self.corruption.repeat) else 1)
+        if self._is_nth(self.corruption.foreign):
+            lines = encode_event(self._foreign_event(index)) + lines
+        hold_back = (
+            self._is_nth(self.corruption.reorder) and not self.held_events and not last
+        )
+        if hold_back and self.count > 1:
+            self.held_events = lines
             return ""
-        lines, self.held = lines + self.held, ""
+        lines, self.held_events = lines + self.held_events, ""
         return lines + ("data: [DONE]\n\n" if last else "")
 
     def _is_nth(self, every: int) -> bool:
@@ -82,11 +96,11 @@
         }
         return {**event, "usage": usage(sequence)} if last else event
 
-    def _foreign(self, index: int) -> dict[str, Any]:
-        event = self._event(index, answer_token("foreign", index), last=False)
+    def _foreign_event(self, index: int) -> dict[str, Any]:
+        event = self._event(index, completion_token("foreign", index), last=False)
         return {**event, "id": f"foreign-{self.sequence.request_id}"}
 
 
-def encode(event: dict[str, Any]) -> str:
-    """Return an event as it is sent."""
+def encode_event(event: dict[str, Any]) -> str:
+    """Return an event in the format of server-sent events."""
     return f"data: {json.dumps(event)}\n\n"
