--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A randomized soak: real gateways as processes, faults from outside them.
+"""A randomised soak test: gateways as separate processes, with injected faults.
 
-:mod:`soak.play` plays one seed; :mod:`soak.promises` holds what is checked meanwhile.
+:mod:`soak.play` runs one seed; :mod:`soak.invariants` checks invariants meanwhile.
 """
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections, and judge what they get."""
+"""Callers that reuse connections and check the responses."""
 
 import hashlib
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 import gevent
 from gevent import socket as gsocket
 
-from soak.promises import IN_FORCE_S, IN_TOUCH_S, LATE_S, Asked
+from soak.invariants import CONTACT_S, DEADLINE_GRACE_S, IN_FORCE_S, SentRequest
 from soak.standins import EVENTS, event, plain_body
 
 HOST = "made.example"
@@ -17,18 +17,19 @@
 PLAIN_UNITS = 20
 PROBE_GAP_S = 0.15
 REFUSED_PAUSE_S = 0.1
-MOST_LOST_S = LATE_S / 2
-"""Time for which the soak itself may stand still while a request is judged, seconds."""
+MAX_STALL_S = DEADLINE_GRACE_S / 2
+"""Lag of the soak's own event loop up to which a missed deadline counts as the node's,
+seconds."""
 
 
 @dataclass(frozen=True)
-class Kind:
-    """A kind of request; `most` is the number of runs that one may have."""
+class RequestKind:
+    """A kind of request; servers may run one of them `max_runs` times."""
 
     name: str
     path: str
     route_kind: str
-    most: int
+    max_runs: int
     resumable: bool = False
 
     @property
@@ -37,15 +38,15 @@
 
 
 KINDS = (
-    Kind("safe", "/safe/", "safe", 3),
-    Kind("unsafe", "/unsafe/", "unsafe", 1),
-    Kind("stream", "/stream/", "streaming", 1),
-    Kind("resumable", "/stream-on/", "streaming", 3, resumable=True),
+    RequestKind("safe", "/safe/", "safe", 3),
+    RequestKind("unsafe", "/unsafe/", "unsafe", 1),
+    RequestKind("stream", "/stream/", "streaming", 1),
+    RequestKind("resumable", "/stream-on/", "streaming", 3, resumable=True),
 )
 
 
 class Caller:
-    """Sends one request after another, each under its own id."""
+    """Sends requests one after the other, each with its own id."""
 
     def __init__(self, fleet, random, organisation):
         self.fleet = fleet
@@ -63,7 +64,7 @@
             gevent.sleep(pause + (REFUSED_PAUSE_S if outcome != 200 else 0.0))
 
     def call(self, kind, path, organisation, node=None):
-        """Make one request and judge its end; return how it ended."""
+        """Send one request and check how it ends; return the status or the failure."""
         fleet = self.fleet
         if node is not None or self.sock is None or self.random.random() < 0.05:
             self.close()
@@ -73,13 +74,13 @@
         request_id = f"{self.random.getrandbits(64):016x}"
         units = PROMPT_TOKENS + MAX_TOKENS if kind.streams else PLAIN_UNITS
         sent_at = fleet.clock()
-        fleet.promises.ask(
+        fleet.checker.request_sent(
             request_id,
-            Asked(
+            SentRequest(
                 kind.name,
                 self.node.name,
                 organisation,
-                kind.most,
+                kind.max_runs,
                 units,
                 sent_at,
                 DEADLINE_S,
@@ -98,45 +99,48 @@
             self.sock = gsocket.create_connection((host, int(port)), CONNECT_S)
         except OSError:
             return False
-        self.sock.settimeout(DEADLINE_S + LATE_S)
+        self.sock.settimeout(DEADLINE_S + DEADLINE_GRACE_S)
         return True
 
     def _exchange(self, kind, path, request_id, organisation, sent_at):
-        promises = self.fleet.promises
+        checker = self.fleet.checker
         response = None
-        lost_s = self.fleet.lag.lost_s
+        stalled_s = self.fleet.lag.stalled_s
         try:
-            with gevent.Timeout(DEADLINE_S + LATE_S, TimeoutError("hung")):
+            with gevent.Timeout(DEADLINE_S + DEADLINE_GRACE_S, TimeoutError("hung")):
                 self.sock.sendall(_head(kind, path, request_id, organisation))
                 response = HTTPResponse(self.sock, method="POST")
                 response.begin()
                 body = response.read()
         except TimeoutError:
             self.close()
-            held_up = self.fleet.lag.lost_s - lost_s > MOST_LOST_S
-            if not held_up and self.node.was_well(sent_at):
-                promises.hung(request_id)
-            promises.end(request_id, "held up" if held_up else "hung")
+            stalled = self.fleet.lag.stalled_s - stalled_s > MAX_STALL_S
+            if not stalled and self.node.was_healthy(sent_at):
+                checker.deadline_missed(request_id)
+            checker.request_ended(request_id, "stalled" if stalled else "hung")
             return "hung"
         except (OSError, HTTPException) as error:
             self.close()
-            return self._cut(response, request_id, sent_at, error)
-        right = _is_right(kind, request_id, response, body)
-        promises.end(
-            request_id, response.status, whole=response.status == 200, right=right
+            return self._handle_disconnect(response, request_id, sent_at, error)
+        correct = _is_correct(kind, request_id, response, body)
+        checker.request_ended(
+            request_id,
+            response.status,
+            complete=response.status == 200,
+            correct=correct,
         )
         if response.will_close:
             self.close()
         return response.status
 
-    def _cut(self, response, request_id, sent_at, error):
-        promises = self.fleet.promises
+    def _handle_disconnect(self, response, request_id, sent_at, error):
+        checker = self.fleet.checker
         if response is not None and response.headers is not None:
-            promises.end(request_id, "cut")
+            checker.request_ended(request_id, "cut")
             return "cut"
-        if self.node.was_well(sent_at):
-            promises.silent(request_id)
-        promises.end(request_id, "closed")
+        if self.node.was_healthy(sent_at):
+            checker.connection_closed(request_id)
+        checker.request_ended(request_id, "closed")
         return f"closed ({error!r})"
 
 
@@ -160,8 +164,8 @@
     return ("\r\n".join(lines) + "\r\n\r\nbody").encode()
 
 
-def _is_right(kind, request_id, response, body):
-    """Return whether a whole answer of status 200 is the one that was asked for."""
+def _is_correct(kind, request_id, response, body):
+    """Return whether a complete response of status 200 has the expected content."""
     if response.status != 200:
         return True
     if not response.headers.get("Response-Seal"):
@@ -172,11 +176,11 @@
 
 
 class Prober(Caller):
-    """Asks each node which configuration it serves by."""
+    """Probes which version of the configuration each node serves."""
 
     def run(self):
         """See :meth:`Caller.run`."""
-        probe = Kind("probe", "", "safe", 3)
+        probe = RequestKind("probe", "", "safe", 3)
         while True:
             gevent.sleep(PROBE_GAP_S)
             node = self.random.choice(self.fleet.nodes)
@@ -189,13 +193,15 @@
                 continue
             name = f"{node.name}#{process}"
             if outcome == 200:
-                self.fleet.promises.saw_version(name, asked_at, version)
+                self.fleet.checker.version_served(name, asked_at, version)
             if due and outcome == (404 if version == newest else 200):
-                self.fleet.promises.late_version(name, version, newest)
+                self.fleet.checker.version_stale(name, version, newest)
 
     def _is_due(self, node):
-        """Return whether `node` has to serve by the newest version."""
+        """Return whether `node` has to serve the newest version by now."""
         now = self.fleet.clock()
         confirmed = now - self.fleet.configured_at > IN_FORCE_S
-        lost_s = self.fleet.lag.lost_for(IN_FORCE_S + IN_TOUCH_S)
-        return confirmed and lost_s < MOST_LOST_S and node.in_touch(now - IN_TOUCH_S)
+        stalled_s = self.fleet.lag.stalled_within(IN_FORCE_S + CONTACT_S)
+        return (
+            confirmed and stalled_s < MAX_STALL_S and node.is_connected(now - CONTACT_S)
+        )
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong while a seed is played, and when."""
+"""Plans and injects the faults of a soak run."""
 
 import signal
 import time
@@ -8,9 +8,9 @@
 import gevent
 
 SERIES_SHARE = 0.35
-MOST_IN_SERIES = 4
-GAP_S = 0.9
-"""Mean time between two faults, seconds: several are under way at most times."""
+MAX_IN_SERIES = 4
+MEAN_GAP_S = 0.9
+"""Mean time between two faults, seconds: short enough that most of them overlap."""
 
 
 @dataclass(frozen=True)
@@ -20,39 +20,41 @@
     Attributes
     ----------
     at : float
-        Seconds after the first fault could come.
+        Seconds after the beginning of the fault phase.
+    kind : str
+        Name of the function in `FAULTS` that injects it.
     target : int
-        Which of the nodes or servers, modulo their number.
+        Index of the node or server, modulo their number.
     for_s : float
-        How long, where it has a length.
-    x : float
-        How strong, 0 to 1.
+        Duration of the kinds that last, seconds.
+    strength : float
+        Size of the fault, 0 to 1; its meaning depends on the kind.
     """
 
     at: float
     kind: str
     target: int
     for_s: float
-    x: float
+    strength: float
 
 
 def plan(random, duration_s, kinds=()):
-    """Return the faults of a seed; some come in series on different targets.
+    """Draw the faults of a run; some form a series on different targets.
 
     Parameters
     ----------
     kinds : tuple of str
-        The kinds to choose from; all if there are none.
+        The kinds to draw from; all if empty.
     """
-    found, at = [], random.expovariate(1 / GAP_S)
+    found, at = [], random.expovariate(1 / MEAN_GAP_S)
     while at < duration_s:
         kind = random.choice(sorted(kinds or FAULTS))
-        series = random.random() < SERIES_SHARE and random.randint(2, MOST_IN_SERIES)
+        series = random.random() < SERIES_SHARE and random.randint(2, MAX_IN_SERIES)
         for _ in range(series or 1):
             target, for_s = random.randrange(1000), random.uniform(0.2, 3.0)
             found.append(Fault(at, kind, target, for_s, random.random()))
             at += random.uniform(0.05, 0.6) if series else 0.0
-        at += random.expovariate(1 / GAP_S)
+        at += random.expovariate(1 / MEAN_GAP_S)
     return [fault for fault in found if fault.at < duration_s]
 
 
@@ -71,14 +73,14 @@
 def kill(fleet, fault):
     node = node_of(fleet, fault)
     node.kill()
-    gevent.sleep(fault.x * 0.5)
+    gevent.sleep(fault.strength * 0.5)
     node.start()
 
 
 def kill_all(fleet, fault):
     for node in fleet.nodes:
         node.kill()
-    gevent.sleep(fault.x)
+    gevent.sleep(fault.strength)
     for node in fleet.nodes:
         node.start()
 
@@ -89,13 +91,13 @@
 
 def reload(fleet, fault):
     node = node_of(fleet, fault)
-    node.write_settings(grace_s=4 + fault.x)
+    node.write_settings(grace_s=4 + fault.strength)
     node.signal(signal.SIGHUP)
 
 
 def step_clock(fleet, fault):
     node = node_of(fleet, fault)
-    node.clock_file.write_text(str((fault.x - 0.5) * 60))
+    node.clock_file.write_text(str((fault.strength - 0.5) * 60))
     gevent.sleep(fault.for_s)
     node.clock_file.write_text("0")
 
@@ -104,67 +106,67 @@
     fleet.configure()
 
 
-def set_for(thing, attribute, value, seconds):
-    """Give an attribute of `thing` another value for a while.
+def set_temporarily(target, attribute, value, seconds):
+    """Set an attribute of `target` to another value for some seconds.
 
-    Of faults that overlap, the last to come decides, and the last to end restores what
-    was before them all. If each restored what it found, one that came while another
-    lasted would put that one's value back, and the fault would never end.
+    Of overlapping calls the latest one sets the value, and the last one to end restores
+    the normal value. If each call restored the value that it found, a call that began
+    during another one would restore that one's value, and the fault would never end.
     """
-    under_way = thing.__dict__.setdefault("faults_under_way", Counter())
-    thing.faulty_at = float("inf")
-    usual = thing.__dict__.setdefault("usual_values", {})
+    under_way = target.__dict__.setdefault("faults_under_way", Counter())
+    target.fault_ended_at = float("inf")
+    normal = target.__dict__.setdefault("usual_values", {})
     if not under_way[attribute]:
-        usual[attribute] = getattr(thing, attribute)
+        normal[attribute] = getattr(target, attribute)
     under_way[attribute] += 1
-    setattr(thing, attribute, value)
+    setattr(target, attribute, value)
     gevent.sleep(seconds)
     under_way[attribute] -= 1
     if not under_way[attribute]:
-        setattr(thing, attribute, usual[attribute])
+        setattr(target, attribute, normal[attribute])
     if not under_way.total():
-        thing.faulty_at = time.monotonic()
+        target.fault_ended_at = time.monotonic()
 
 
 def store_down(fleet, fault):
-    set_for(fleet.store, "down", True, fault.for_s)
+    set_temporarily(fleet.store, "down", True, fault.for_s)
 
 
 def store_loses(fleet, fault):
-    set_for(fleet.store, "losing", True, fault.for_s)
+    set_temporarily(fleet.store, "losing_responses", True, fault.for_s)
 
 
 def store_silent(fleet, fault):
-    set_for(fleet.store, "silent", True, fault.for_s)
+    set_temporarily(fleet.store, "silent", True, fault.for_s)
 
 
 def links_fall_silent(fleet, fault):
-    """Let nothing more through on connections to the store, or to a server."""
-    if fault.x < 0.5:
+    """Drop all further bytes of the open connections to the store or to a server."""
+    if fault.strength < 0.5:
         link = node_of(fleet, fault).store_link
     else:
         link = backend_of(fleet, fault).link
-    link.deafen()
+    link.black_hole()
     link.healed_at = fleet.clock()
 
 
 def cloud_down(fleet, fault):
-    set_for(fleet.cloud, "down", True, fault.for_s)
+    set_temporarily(fleet.cloud, "down", True, fault.for_s)
 
 
 def cloud_loses(fleet, fault):
-    set_for(fleet.cloud, "losing", True, fault.for_s)
+    set_temporarily(fleet.cloud, "losing_responses", True, fault.for_s)
 
 
-def disturb(fleet, link, fault):
-    """Delay, silence one way, refuse or reset a link for a while."""
-    if fault.x < 0.25:
-        link.delay_s = fault.x
-    elif fault.x < 0.45:
+def impair(fleet, link, fault):
+    """Delay, stall in one direction, refuse or reset a link for some seconds."""
+    if fault.strength < 0.25:
+        link.delay_s = fault.strength
+    elif fault.strength < 0.45:
         link.silent_out = True
-    elif fault.x < 0.65:
+    elif fault.strength < 0.65:
         link.silent_back = True
-    elif fault.x < 0.85:
+    elif fault.strength < 0.85:
         link.accepting = False
         link.reset()
     else:
@@ -177,24 +179,24 @@
 
 def store_link(fleet, fault):
     node = node_of(fleet, fault)
-    disturb(fleet, node.store_link, fault)
+    impair(fleet, node.store_link, fault)
 
 
 def cloud_link(fleet, fault):
     node = node_of(fleet, fault)
-    fleet.promises.thawed[node.name] = float("inf")
-    disturb(fleet, node.cloud_link, fault)
-    fleet.promises.thawed[node.name] = fleet.clock()
+    fleet.checker.resumed_at[node.name] = float("inf")
+    impair(fleet, node.cloud_link, fault)
+    fleet.checker.resumed_at[node.name] = fleet.clock()
 
 
 def caller_link(fleet, fault):
     node = node_of(fleet, fault)
-    with node.harmed():
-        disturb(fleet, node.link, fault)
+    with node.under_fault():
+        impair(fleet, node.link, fault)
 
 
 def server_link(fleet, fault):
-    disturb(fleet, backend_of(fleet, fault).link, fault)
+    impair(fleet, backend_of(fleet, fault).link, fault)
 
 
 def server_crash(fleet, fault):
@@ -202,19 +204,19 @@
 
 
 def server_leaves(fleet, fault):
-    backend_of(fleet, fault).leave(0.5 + fault.x * 2)
+    backend_of(fleet, fault).leave(0.5 + fault.strength * 2)
 
 
 def server_errs(fleet, fault):
     server = backend_of(fleet, fault).server
-    if server is not None:  # between a crash and the next start there is none
-        set_for(server, "erring", fault.x, fault.for_s)
+    if server is not None:  # None between a crash and the next start
+        set_temporarily(server, "error_share", fault.strength, fault.for_s)
 
 
 def server_slow(fleet, fault):
     server = backend_of(fleet, fault).server
     if server is not None:
-        set_for(server, "work_s", fault.x, fault.for_s)
+        set_temporarily(server, "work_s", fault.strength, fault.for_s)
 
 
 FAULTS = {
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes and stand-ins of one played seed."""
+"""The gateway processes, links and stand-ins of one soak run."""
 
 import json
 import os
@@ -12,10 +12,10 @@
 import gevent
 
 from soak.callers import HOST, KINDS, PLAIN_UNITS
+from soak.invariants import InvariantChecker, Limit
 from soak.lag import Lag
 from soak.network import Link
-from soak.promises import Limit, Promises
-from soak.standins import CONFIGURATION, SERVERS, MadeCloud, MadeServer, MadeStore
+from soak.standins import CONFIGURATION, SERVERS, FakeCloud, FakeServer, FakeStore
 
 ZONES = ("a", "b", "c")
 PORT = 7100
@@ -23,26 +23,28 @@
 MISSED_HEARTBEATS_S = 2.4
 GRACE_S = 5.0
 EXIT_SLACK_S = 1.0
-THAWED_S = 0.5
-"""Time that a process gets after a pause to work off what came meanwhile, seconds."""
+RESUME_CATCH_UP_S = 0.5
+"""Time after a pause in which a process handles what arrived meanwhile, seconds."""
 
 LIMITS = {"limited": Limit(rate=400.0, burst=400.0, slack=800.0)}
 ORGANISATIONS = ("limited", "free")
 
 
 class NodeProcess:
-    """A gateway's process, and the links to and from it.
+    """A gateway process, and the links to and from it.
 
     Attributes
     ----------
-    harms : int
-        Faults under way that excuse it from answering.
-    harmed_at : float
-        When the last of them ended.
+    active_faults : int
+        Number of current faults during which it doesn't have to respond.
+    recovered_at : float
+        When the last of them ended, seconds since the beginning.
     starts : int
         How often it was started.
     started_at : float
-        When it last was.
+        When it was last started, seconds since the beginning.
+    busy : bool
+        Whether it is being restarted or is paused.
     """
 
     def __init__(self, fleet, number):
@@ -57,8 +59,8 @@
         self.settings = fleet.directory / f"{self.name}.json"
         self.clock_file = fleet.directory / f"{self.name}.clock"
         self.output = fleet.directory / f"{self.name}.log"
-        self.harms = 0
-        self.harmed_at = 0.0
+        self.active_faults = 0
+        self.recovered_at = 0.0
         self.starts = 0
         self.started_at = 0.0
         self.process = None
@@ -92,7 +94,7 @@
         self.settings.write_text(json.dumps(document))
 
     def start(self):
-        """Start the process unless it runs."""
+        """Start the process unless it is running."""
         if self.process is not None and self.process.poll() is None:
             return
         self.starts += 1
@@ -117,36 +119,38 @@
             self.process.send_signal(number)
 
     def kill(self):
-        """End the process at once."""
-        with self.harmed():
+        """Kill the process with SIGKILL."""
+        with self.under_fault():
             self.signal(signal.SIGCONT)
             self.signal(signal.SIGKILL)
             self._wait(EXIT_SLACK_S)
 
     def restart(self):
-        """Stop the process as the platform does, and start it again."""
+        """Stop the process with SIGTERM, as the platform does, and start it again."""
         if self.busy:
             return
         self.busy = True
         self.signal(signal.SIGTERM)
         if not self._wait(GRACE_S + EXIT_SLACK_S):
-            self.fleet.promises.break_("stop", f"{self.name} runs after its grace")
+            self.fleet.checker.record_violation(
+                "stop", f"{self.name} still runs after its grace period"
+            )
             self.kill()
         self.busy = False
         self.start()
 
     def pause(self, for_s):
-        """Stop the process's time for a while; one of its stops isn't paused."""
+        """Suspend the process for some seconds, unless it is being restarted."""
         if self.busy:
             return
         self.busy = True
-        with self.harmed():
-            self.fleet.promises.thawed[self.name] = float("inf")
+        with self.under_fault():
+            self.fleet.checker.resumed_at[self.name] = float("inf")
             self.signal(signal.SIGSTOP)
             gevent.sleep(for_s)
             self.signal(signal.SIGCONT)
-            self.fleet.promises.thawed[self.name] = self.fleet.clock()
-            gevent.sleep(THAWED_S)
+            self.fleet.checker.resumed_at[self.name] = self.fleet.clock()
+            gevent.sleep(RESUME_CATCH_UP_S)
         self.busy = False
 
     def _wait(self, seconds):
@@ -156,28 +160,28 @@
         return self.process.poll() is not None
 
     @contextmanager
-    def harmed(self):
-        """Excuse this node from answering while a fault lasts."""
-        self.harms += 1
+    def under_fault(self):
+        """Count a fault during which this node doesn't have to respond."""
+        self.active_faults += 1
         try:
             yield
         finally:
-            self.harms -= 1
-            self.harmed_at = self.fleet.clock()
+            self.active_faults -= 1
+            self.recovered_at = self.fleet.clock()
 
-    def was_well(self, since):
-        """Return whether nothing excused this node from `since` until now."""
-        return not self.harms and self.harmed_at < since
+    def was_healthy(self, since):
+        """Return whether this node had to respond from `since` until now."""
+        return not self.active_faults and self.recovered_at < since
 
-    def in_touch(self, since):
-        """Return whether nothing kept news from this node from `since` until now."""
+    def is_connected(self, since):
+        """Return whether this node could read the store from `since` until now."""
         store = self.fleet.store
-        calm_s = time.monotonic() - store.faulty_at
+        calm_s = time.monotonic() - store.fault_ended_at
         return (
-            self.was_well(since)
+            self.was_healthy(since)
             and not self.busy
             and self.started_at < since
-            and self.store_link.is_well
+            and self.store_link.is_healthy
             and self.store_link.healed_at < since
             and self.fleet.clock() - calm_s < since
         )
@@ -191,7 +195,7 @@
 
 
 class Backend:
-    """A place where one server after another runs, and the link before it."""
+    """Runs one backend server after another behind one link."""
 
     def __init__(self, fleet, number, service):
         self.fleet = fleet
@@ -208,52 +212,52 @@
     def _start(self):
         self.starts += 1
         self.state, self.leaves_s = "ready", None
-        self.server = MadeServer(
+        self.server = FakeServer(
             self.fleet.ip(2, self.number),
             PORT,
             server_id=f"i-{self.number}-{self.starts}",
             service=self.service,
             born=int(time.time() * 1000),
-            promises=self.fleet.promises,
+            checker=self.fleet.checker,
         )
 
-    def beat(self):
-        """Write the server's entry in the store, as it does by itself."""
+    def send_heartbeat(self):
+        """Write the server's entry in the store, as a real server does."""
         if self.server is not None:
             entry = self.server.entry(
                 self.link.address, self.zone, self.state, self.leaves_s
             )
             self.fleet.store.put(SERVERS, self.server.id, entry)
 
-    def crash(self, away_s):
-        """End the server; its entry lapses, and another one starts."""
+    def crash(self, downtime_s):
+        """End the server; its entry expires later, and another server starts."""
         if self.server is None:
             return
         server, self.server = self.server, None
         server.stop()
         self.link.reset()
-        gevent.spawn_later(MISSED_HEARTBEATS_S, self._lapse, server.id)
-        gevent.sleep(away_s)
+        gevent.spawn_later(MISSED_HEARTBEATS_S, self._expire_entry, server.id)
+        gevent.sleep(downtime_s)
         self._start()
-        self.beat()
+        self.send_heartbeat()
 
-    def leave(self, left_s):
-        """Say that the server is taken back, and end it after that time."""
+    def leave(self, notice_s):
+        """Announce the server's reclaim, and end the server after `notice_s`."""
         if self.server is None or self.state != "ready":
             return
         server = self.server
-        self.state, self.leaves_s = "draining", left_s
-        self.beat()
-        gevent.sleep(left_s)
+        self.state, self.leaves_s = "draining", notice_s
+        self.send_heartbeat()
+        gevent.sleep(notice_s)
         if self.server is server:
             self.crash(0.5)
 
-    def _lapse(self, server_id):
+    def _expire_entry(self, server_id):
         self.fleet.store.put(SERVERS, server_id, b"")
 
 
 class Fleet:
-    """Everything of one seed."""
+    """All processes, links and stand-ins of one soak run."""
 
     def __init__(self, directory, slot, *, nodes, mutant=""):
         self.directory = Path(directory)
@@ -262,16 +266,16 @@
         self.version = 0
         self.configured_at = 0.0
         self.started = time.monotonic()
-        self.promises = Promises(self.clock, LIMITS)
+        self.checker = InvariantChecker(self.clock, LIMITS)
         self.lag = Lag()
-        self.store = MadeStore(self.ip(6, 0), PORT)
-        self.cloud = MadeCloud(self.ip(6, 1), PORT, self.promises)
+        self.store = FakeStore(self.ip(6, 0), PORT)
+        self.cloud = FakeCloud(self.ip(6, 1), PORT, self.checker)
         self.configure()
         services = ("plain", "plain", "plain", "engine", "engine", "engine")
         self.backends = [Backend(self, *pair) for pair in enumerate(services)]
         self.nodes = [NodeProcess(self, number) for number in range(nodes)]
         for backend in self.backends:
-            backend.beat()
+            backend.send_heartbeat()
         for node in self.nodes:
             node.start()
 
@@ -280,18 +284,18 @@
         return time.monotonic() - self.started
 
     def ip(self, purpose, number):
-        """Return a loopback address of this fleet's own."""
+        """Return a loopback address that belongs to this fleet's slot."""
         return f"127.{self.slot}.{purpose}.{number + 1}"
 
-    def beat(self):
-        """Let all servers write their entries, for ever; the body of a greenlet."""
+    def send_heartbeats(self):
+        """Let all servers write their entries until killed; the body of a greenlet."""
         while True:
             gevent.sleep(HEARTBEAT_S)
             for backend in self.backends:
-                backend.beat()
+                backend.send_heartbeat()
 
     def configure(self):
-        """Put a further version of the configuration into the store."""
+        """Write the next version of the configuration to the store."""
         self.version += 1
         routes = [_route(kind.path, kind) for kind in KINDS]
         routes.append(_route(f"/version-{self.version}/", KINDS[0], public=True))
@@ -307,13 +311,13 @@
         self.configured_at = self.clock()
 
     def is_ready(self):
-        """Return whether every node has the configuration and servers."""
+        """Return whether every node has logged that it knows its peers."""
         return all("event=peers" in n.output.read_text() for n in self.nodes)
 
     def heal(self):
-        """End every fault that is under way."""
+        """End all current faults."""
         for part in (self.store, self.cloud):
-            part.down = part.losing = False
+            part.down = part.losing_responses = False
         self.store.silent = False
         for backend in self.backends:
             backend.link.heal()
--- /dev/null
+++ b/tests/soak/invariants.py
@@ -0,0 +1,220 @@
+"""Checks what callers, servers and the platform observe during a soak run."""
+
+from collections import defaultdict, deque
+from dataclasses import dataclass
+
+QUOTA_WINDOW_S = 4.0
+QUOTA_OVERAGE = 0.1
+"""Window over which a limit holds, seconds, and share by which it may be exceeded in
+it. The share is that of the platform's own rule; the window is half of the rule's."""
+
+RESUME_GRACE_S = 0.3
+"""Time after a process or a link resumed during which its calls aren't checked,
+seconds."""
+
+LEASE_S = 3.0
+"""Time within which the duties must not pass to another node and back, seconds."""
+
+DEADLINE_GRACE_S = 1.5
+"""Time after its deadline within which a request must have ended, seconds."""
+
+IN_FORCE_S = 2.0
+"""Time after its confirmation within which a configuration is in force, seconds."""
+
+CONTACT_S = 3.0
+"""Time for which a node must have been able to receive changes before it has to serve
+the newest configuration, seconds."""
+
+NOT_RUN = (408, 421, 429, 503)
+"""HTTP statuses that say that the request was not run."""
+
+
+@dataclass
+class SentRequest:
+    """A request as its caller sent it.
+
+    Attributes
+    ----------
+    max_runs : int
+        How often servers may run it.
+    units : int
+        Units that count against its organisation's limit.
+    """
+
+    kind: str
+    node: str
+    organisation: str
+    max_runs: int
+    units: int
+    sent_at: float
+    deadline_s: float
+
+
+@dataclass
+class Limit:
+    """An organisation's limit, and the units tolerated beyond it."""
+
+    rate: float
+    burst: float
+    slack: float
+
+    @property
+    def max_units(self):
+        """Units that may be run within one window."""
+        allowed = self.rate * QUOTA_WINDOW_S + self.burst
+        return allowed * (1 + QUOTA_OVERAGE) + self.slack
+
+
+class InvariantChecker:
+    """Receives observations, and records a line for each violated invariant.
+
+    Attributes
+    ----------
+    violations : list of str
+    counts : dict of str to int
+        Requests by kind and outcome.
+    """
+
+    def __init__(self, clock, limits):
+        self.clock = clock
+        self.limits = limits
+        self.violations = []
+        self.counts = defaultdict(int)
+        self.requests = {}
+        self.runs = defaultdict(list)
+        self.not_run = {}
+        self.spent = defaultdict(deque)
+        self.newest_tokens = {}
+        self.holders = {}
+        self.recent_holders = defaultdict(lambda: deque(maxlen=3))
+        self.usage = {}
+        self.versions = {}
+        self.resumed_at = {}
+
+    def record_violation(self, rule, text):
+        self.violations.append(f"{self.clock():.3f} s: {rule}: {text}")
+
+    # Callers
+
+    def request_sent(self, request_id, request):
+        self.requests[request_id] = request
+
+    def request_ended(self, request_id, outcome, *, complete=False, correct=True):
+        """Record the end of a request: a status, or how its connection ended."""
+        request = self.requests[request_id]
+        self.counts[f"{request.kind} {outcome}"] += 1
+        if outcome in NOT_RUN:
+            self.not_run[request_id] = outcome
+            if self.runs[request_id]:
+                self.record_violation(
+                    "not run", f"{request.kind} {request_id} ran and got {outcome}"
+                )
+        if complete and not correct:
+            self.record_violation("wrong response", f"{request.kind} {request_id}")
+
+    def connection_closed(self, request_id):
+        """Record that a healthy node closed a connection without a response."""
+        request = self.requests[request_id]
+        if self.runs[request_id]:
+            self.record_violation(
+                "no response", f"{request.kind} {request_id} ran, {request.node}"
+            )
+
+    def deadline_missed(self, request_id):
+        """Record a request that had not ended `DEADLINE_GRACE_S` after its deadline."""
+        request = self.requests[request_id]
+        self.record_violation(
+            "deadline", f"{request.kind} {request_id} at {request.node}"
+        )
+
+    def version_served(self, node, asked_at, version):
+        """Record that `node` served configuration `version` at `asked_at` or later."""
+        newest, since = self.versions.get(node, (0, 0.0))
+        if version < newest and asked_at > since:
+            self.record_violation(
+                "configuration", f"{node} served {version} after {newest}"
+            )
+        elif version > newest:
+            self.versions[node] = (version, self.clock())
+
+    def version_stale(self, node, version, newest):
+        """Record that `node`, though connected, doesn't serve the newest version."""
+        self.record_violation(
+            "configuration in time",
+            f"{node}: wrong response for {version}, newest {newest}",
+        )
+
+    # Servers
+
+    def request_started(self, request_id, server, organisation):
+        """Record that a server begins to run a request."""
+        request = self.requests.get(request_id)
+        if request is None:
+            self.record_violation(
+                "unknown request", f"{server} received {request_id}, which wasn't sent"
+            )
+            return
+        runs = self.runs[request_id]
+        runs.append(server)
+        if len(runs) > request.max_runs:
+            self.record_violation("runs", f"{request.kind} {request_id} at {runs}")
+        if request_id in self.not_run:
+            status = self.not_run[request_id]
+            self.record_violation(
+                "not run", f"{request.kind} {request_id} ran after {status}"
+            )
+        if organisation != request.organisation:
+            self.record_violation("organisation", f"{request_id} as {organisation!r}")
+        if len(runs) == 1:
+            self._spend(organisation, request.units)
+
+    def _spend(self, organisation, units):
+        limit = self.limits.get(organisation)
+        if limit is None:
+            return
+        now, spent = self.clock(), self.spent[organisation]
+        spent.append((now, units))
+        while spent[0][0] < now - QUOTA_WINDOW_S:
+            spent.popleft()
+        total = sum(units for _, units in spent)
+        if total > limit.max_units:
+            self.record_violation(
+                "limit", f"{organisation} {total} of {limit.max_units:.0f}"
+            )
+            spent.clear()
+
+    # The platform
+
+    def duty_called(self, path, body, holder, fencing_token):
+        """Record a call that only the holder of the duties may make."""
+        if self.clock() - self.resumed_at.get(holder, -RESUME_GRACE_S) < RESUME_GRACE_S:
+            return
+        subject = (path, body.get("service"), body.get("zone"))
+        if fencing_token < self.newest_tokens.get(subject, 0):
+            self.record_violation(
+                "one holder", f"{holder} sent {fencing_token} for {subject}"
+            )
+        self.newest_tokens[subject] = max(
+            fencing_token, self.newest_tokens.get(subject, 0)
+        )
+        if self.holders.setdefault(fencing_token, holder) != holder:
+            self.record_violation(
+                "one holder",
+                f"{holder} and {self.holders[fencing_token]} both use {fencing_token}",
+            )
+        self._check_turns(holder)
+        if path == "/usage":
+            window, counts = body["window_id"], body["counts"]
+            if self.usage.setdefault(window, counts) != counts:
+                self.record_violation(
+                    "usage", f"{window}: {self.usage[window]}, then {counts}"
+                )
+
+    def _check_turns(self, holder):
+        turns, now = self.recent_holders["holder"], self.clock()
+        if turns and turns[-1][0] == holder:
+            turns[-1] = (holder, now)
+            return
+        turns.append((holder, now))
+        if len(turns) == 3 and turns[0][0] == holder and now - turns[0][1] < LEASE_S:
+            self.record_violation("one holder", f"{holder} acted again within a lease")
--- a/tests/soak/lag.py
+++ b/tests/soak/lag.py
@@ -1,4 +1,7 @@
-"""How long the soak's own process was held up, so that nodes aren't blamed for it."""
+"""Measures the event-loop lag of the soak's own process.
+
+Without it, delays of this process would count as delays of the nodes.
+"""
 
 import time
 from collections import deque
@@ -6,24 +9,24 @@
 import gevent
 
 STEP_S = 0.02
-KEPT = 500
+MAX_SAMPLES = 500
 
 
 class Lag:
-    """Adds up the time by which the event loop came late.
+    """Sums up the lag of the event loop.
 
-    All callers, links and stand-ins run in this one loop: while it stands still, no
-    answer gets through, however soon a node gave it.
+    All callers, links and stand-ins run in this loop. While it is blocked, no response
+    reaches its caller, however early the node sent it.
 
     Attributes
     ----------
-    lost_s : float
-        Seconds lost since the start.
+    stalled_s : float
+        Total lag since the start, seconds.
     """
 
     def __init__(self):
-        self.lost_s = 0.0
-        self.late = deque(maxlen=KEPT)
+        self.stalled_s = 0.0
+        self.samples = deque(maxlen=MAX_SAMPLES)
 
     def run(self):
         """Measure until killed; the body of a greenlet."""
@@ -33,10 +36,10 @@
             now = time.monotonic()
             late_s = now - before - 2 * STEP_S
             if late_s > 0:
-                self.lost_s += late_s
-                self.late.append((now, late_s))
+                self.stalled_s += late_s
+                self.samples.append((now, late_s))
 
-    def lost_for(self, seconds):
-        """Return the seconds lost of the last `seconds`, among the last losses."""
+    def stalled_within(self, seconds):
+        """Return the lag within the last `seconds`, of the `MAX_SAMPLES` newest."""
         since = time.monotonic() - seconds
-        return sum(late_s for at, late_s in self.late if at > since)
+        return sum(late_s for at, late_s in self.samples if at > since)
--- a/tests/soak/launch.py
+++ b/tests/soak/launch.py
@@ -1,7 +1,7 @@
-"""Starts a gateway with a wall clock that can be moved, and with a fault put in.
+"""Starts a gateway with an adjustable wall clock and, if asked for, a mutant.
 
-The wall clock is moved by a file whose text is the offset in seconds. The faults are
-mutants: each breaks one promise, so that the soak shows it would notice.
+The offset of the wall clock, in seconds, is read from a file. Each mutant makes the
+gateway violate one invariant, to show that the soak detects the violation.
 """
 
 import os
@@ -13,7 +13,7 @@
 
 
 def skewed_time():
-    """Return the wall clock's time, moved by what the file says."""
+    """Return the wall clock's time plus the offset in the file."""
     try:
         with open(offset_path) as file:
             return real_time() + float(file.read() or 0)
@@ -24,8 +24,8 @@
 time.time = skewed_time
 
 
-def share_no_limit():
-    """Let each node spend the whole of every limit."""
+def disable_limit_sharing():
+    """Let each node spend the whole of every limit, whatever the others spend."""
     from endive_core.shared_limits import SharedLimits
 
     SharedLimits.receive = lambda self, *args, **options: None
@@ -33,8 +33,8 @@
     SharedLimits.reachable_share = lambda self, now: 1.0
 
 
-def say_not_run():
-    """Let a request that may have run be called not run."""
+def report_not_run():
+    """Let a node report requests that may have run as not run."""
     from endive_gateway import statuses
 
     real_status = statuses.status_of
@@ -46,8 +46,8 @@
     statuses.status_of = status
 
 
-def claim_at_once():
-    """Let a node claim the duties while another one may still hold them."""
+def claim_without_lease_check():
+    """Let a node claim the duties while another node's lease may still be valid."""
     from endive_core.leases import DutyLog
     from endive_gateway.duties import Duties
 
@@ -55,18 +55,18 @@
     DutyLog.may_claim = lambda self, node, now: True
 
 
-def trust_silence():
-    """Let a node take a read without an answer for no news."""
+def treat_silence_as_current():
+    """Let a node treat an unanswered read as proof that nothing has changed."""
     from endive_gateway.configuration import ConfigurationFollower
 
     ConfigurationFollower.check = lambda self: 60.0
 
 
 MUTANTS = {
-    "limit": share_no_limit,
-    "not-run": say_not_run,
-    "holder": claim_at_once,
-    "silence": trust_silence,
+    "limit": disable_limit_sharing,
+    "not-run": report_not_run,
+    "holder": claim_without_lease_check,
+    "silence": treat_silence_as_current,
 }
 
 if __name__ == "__main__":
--- a/tests/soak/network.py
+++ b/tests/soak/network.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, silences or refuses connections."""
+"""A loopback TCP proxy that delays, stalls, resets or refuses connections."""
 
 import socket
 import struct
@@ -8,24 +8,24 @@
 from gevent.server import StreamServer
 
 CONNECT_S = 2.0
-HOLD_LOOK_S = 0.02
-PIECE_BYTES = 65_536
+HOLD_POLL_S = 0.02
+CHUNK_BYTES = 65_536
 NO_LINGER = struct.pack("ii", 1, 0)
 
 
 class Link:
-    """One address that passes connections on to another.
+    """Forwards the connections to one address to another address.
 
     Attributes
     ----------
     accepting : bool
-        Whether connections are taken; else each is reset at once.
+        Whether connections are accepted; if not, each is reset at once.
     silent_out, silent_back : bool
         Whether bytes to the target, or from it, are held back.
     delay_s : float
-        Added to each piece in both directions, seconds.
+        Delay of each chunk in both directions, seconds.
     healed_at : float
-        When the last fault here ended, seconds on `clock`.
+        When the last fault of this link ended, seconds on `clock`.
     """
 
     def __init__(self, host, port, target, clock):
@@ -36,7 +36,7 @@
         self.delay_s = 0.0
         self.healed_at = 0.0
         self.open = set()
-        self.deaf = set()
+        self.black_holed = set()
         self.server = StreamServer((host, port), self._serve)
         self.server.start()
 
@@ -55,18 +55,18 @@
         self.delay_s = 0.0
         self.healed_at = self.clock()
 
-    def deafen(self):
-        """Let nothing more through on connections that are open; new ones work."""
-        self.deaf |= self.open
+    def black_hole(self):
+        """Drop all further bytes of the open connections; new connections work."""
+        self.black_holed |= self.open
 
     @property
-    def is_well(self):
-        """Whether no fault is under way here."""
+    def is_healthy(self):
+        """Whether this link has no fault now."""
         silent = self.silent_out or self.silent_back
         return self.accepting and not silent and not self.delay_s
 
     def reset(self):
-        """Reset all connections that are open."""
+        """Reset all open connections."""
         for sock in list(self.open):
             reset(sock)
 
@@ -76,48 +76,48 @@
             return
         host, port = self.target.rsplit(":", 1)
         try:
-            far = gsocket.create_connection((host, int(port)), CONNECT_S)
+            upstream = gsocket.create_connection((host, int(port)), CONNECT_S)
         except OSError:
             reset(sock)
             return
-        far.settimeout(None)
-        for end in (sock, far):
+        upstream.settimeout(None)
+        for end in (sock, upstream):
             end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.open |= {sock, far}
+        self.open |= {sock, upstream}
         pipes = [
-            gevent.spawn(self._pipe, sock, far, "silent_out"),
-            gevent.spawn(self._pipe, far, sock, "silent_back"),
+            gevent.spawn(self._pipe, sock, upstream, "silent_out"),
+            gevent.spawn(self._pipe, upstream, sock, "silent_back"),
         ]
         gevent.joinall(pipes)
-        self.open -= {sock, far}
-        self.deaf -= {sock, far}
+        self.open -= {sock, upstream}
+        self.black_holed -= {sock, upstream}
         sock.close()
-        far.close()
+        upstream.close()
 
     def _pipe(self, source, sink, silence):
         try:
-            while piece := source.recv(PIECE_BYTES):
+            while chunk := source.recv(CHUNK_BYTES):
                 gevent.sleep(self.delay_s)
                 self._hold(silence)
-                if source not in self.deaf:
-                    sink.sendall(piece)
+                if source not in self.black_holed:
+                    sink.sendall(chunk)
             self._hold(silence)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
-            # Either end was reset, and so the other one must be.
+            # One side was reset, so the other side is reset too.
             reset(source)
             reset(sink)
 
     def _hold(self, silence):
         while getattr(self, silence):
-            gevent.sleep(HOLD_LOOK_S)
+            gevent.sleep(HOLD_POLL_S)
 
 
 def reset(sock):
-    """Close `sock` with a reset, whatever it still has to send."""
+    """Close `sock` with a reset; unsent data is discarded."""
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         sock.shutdown(socket.SHUT_RDWR)
     except OSError:
-        pass  # closed or reset by the other side already
+        pass  # already closed or reset by the other side
     sock.close()
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -1,6 +1,6 @@
-"""Plays seeds: ``python -m soak.play --seed 7``, or ``--seeds 50`` for fresh ones.
+"""Runs the soak: ``python -m soak.play --seed 7``, or ``--seeds 50`` for random seeds.
 
-Each prints a line, and the broken promises with where the nodes' logs lie.
+Prints one line for each seed, with any violations and the directory of the nodes' logs.
 """
 
 import random
@@ -19,153 +19,170 @@
 NODES = 6
 CALLERS = 18
 START_S = 20.0
-CALM_S = 2.0
+WARM_UP_S = 2.0
 FAULTS_S = 12.0
-SETTLE_S = 9.0
-"""Time after the last fault by which all is well again, seconds: the longest stop, then
-a start, a silent server's pause and a successor to the duties."""
+RECOVERY_S = 9.0
+"""Time after the last fault within which the service must recover, seconds. It covers
+the longest stop of a node, its start, the pause of a silent server and a new claim of
+the duties."""
 
-MOST_SETTLE_S = 30.0
-"""The same at most on a machine so busy that the soak itself is held up, seconds."""
+MAX_RECOVERY_S = 30.0
+"""Upper bound of the time for recovery when lag of the soak itself extends it,
+seconds."""
 
-LAST_S = 2.0
-LOOK_S = 0.1
-LEAST_SERVED = 0.9
-"""Part of the requests of the organisation without a limit that must be served in the
-last seconds."""
+FINAL_WINDOW_S = 2.0
+POLL_S = 0.1
+MIN_SERVED_SHARE = 0.9
+"""Share of the requests not refused with 429 that must be served in the final
+window."""
 
 
 @dataclass
 class Outcome:
-    """What became of a seed."""
+    """The result of one seed."""
 
     seed: int
-    broken: list
+    violations: list
     counts: dict
     faults: Counter
     directory: str
-    held_up_s: float = 0.0
+    soak_stalled_s: float = 0.0
 
     @property
     def line(self):
         served = sum(n for end, n in self.counts.items() if end.endswith(" 200"))
         total = sum(self.counts.values())
-        verdict = "broken" if self.broken else "kept"
-        held_up = f", held up for {self.held_up_s:.1f} s" if self.held_up_s > 1 else ""
-        return f"seed {self.seed}: {verdict}, {served} of {total} served{held_up}"
-
-
-def play(seed, *, slot=11, mutant="", nodes=NODES, faults_s=FAULTS_S, kinds=()):
-    """Play one seed; return its :class:`Outcome`."""
-    chance = random.Random(seed)
+        verdict = "failed" if self.violations else "passed"
+        lag = (
+            f", soak process lagged by {self.soak_stalled_s:.1f} s"
+            if self.soak_stalled_s > 1
+            else ""
+        )
+        return f"seed {self.seed}: {verdict}, {served} of {total} served{lag}"
+
+
+def run_seed(seed, *, slot=11, mutant="", nodes=NODES, faults_s=FAULTS_S, kinds=()):
+    """Run one seed; return its :class:`Outcome`."""
+    rng = random.Random(seed)
     directory = tempfile.mkdtemp(prefix=f"soak-{seed}-")
-    faults = plan(chance, faults_s, kinds)
+    faults = plan(rng, faults_s, kinds)
     fleet = Fleet(directory, slot, nodes=nodes, mutant=mutant)
     loops = []
     try:
         _wait_ready(fleet)
-        loops = [gevent.spawn(loop) for loop in _loops(fleet, chance)]
-        _until_broken(fleet, CALM_S)
-        _inflict(fleet, faults, faults_s)
-        _recover(fleet)
+        loops = [gevent.spawn(loop) for loop in _loops(fleet, rng)]
+        _wait_unless_violated(fleet, WARM_UP_S)
+        _inject_faults(fleet, faults, faults_s)
+        _check_recovery(fleet)
     finally:
         gevent.killall(loops)
         fleet.close()
-    promises = fleet.promises
+    checker = fleet.checker
     kinds = Counter(fault.kind for fault in faults)
     return Outcome(
         seed,
-        promises.broken,
-        dict(promises.counts),
+        checker.violations,
+        dict(checker.counts),
         kinds,
         directory,
-        fleet.lag.lost_s,
+        fleet.lag.stalled_s,
     )
 
 
-def _loops(fleet, chance):
+def _loops(fleet, rng):
     callers = [
-        Caller(fleet, random.Random(chance.random()), name)
+        Caller(fleet, random.Random(rng.random()), name)
         for name in ORGANISATIONS
         for _ in range(CALLERS // len(ORGANISATIONS))
     ]
-    prober = Prober(fleet, random.Random(chance.random()), "")
-    return [fleet.lag.run, fleet.beat, prober.run, *(caller.run for caller in callers)]
+    prober = Prober(fleet, random.Random(rng.random()), "")
+    return [
+        fleet.lag.run,
+        fleet.send_heartbeats,
+        prober.run,
+        *(caller.run for caller in callers),
+    ]
 
 
 def _wait_ready(fleet):
     end = time.monotonic() + START_S
     while not fleet.is_ready():
         if time.monotonic() > end:
-            raise TimeoutError(f"the nodes didn't start: {fleet.directory}")
+            raise TimeoutError(
+                f"nodes not ready within {START_S:.0f} s, logs: {fleet.directory}"
+            )
         for backend in fleet.backends:
-            backend.beat()
+            backend.send_heartbeat()
         gevent.sleep(0.2)
     gevent.sleep(0.5)
 
 
-def _until_broken(fleet, seconds):
-    """Let time pass, but no longer than until a promise is broken."""
+def _wait_unless_violated(fleet, seconds):
+    """Wait for `seconds`, or until an invariant is violated."""
     end = time.monotonic() + seconds
-    while time.monotonic() < end and not fleet.promises.broken:
-        gevent.sleep(min(LOOK_S, max(0.0, end - time.monotonic())))
+    while time.monotonic() < end and not fleet.checker.violations:
+        gevent.sleep(min(POLL_S, max(0.0, end - time.monotonic())))
 
 
-def _until_settled(fleet):
-    """Let the nodes have `SETTLE_S`, without the time that the soak stood still."""
-    end, lost_s = time.monotonic() + MOST_SETTLE_S, fleet.lag.lost_s
-    left_s = SETTLE_S
-    while left_s > 0 and time.monotonic() < end and not fleet.promises.broken:
-        _until_broken(fleet, left_s)
-        left_s, lost_s = fleet.lag.lost_s - lost_s, fleet.lag.lost_s
+def _wait_recovery(fleet):
+    """Wait for `RECOVERY_S` plus the soak's own lag, `MAX_RECOVERY_S` at most."""
+    end, stalled_s = time.monotonic() + MAX_RECOVERY_S, fleet.lag.stalled_s
+    left_s = RECOVERY_S
+    while left_s > 0 and time.monotonic() < end and not fleet.checker.violations:
+        _wait_unless_violated(fleet, left_s)
+        left_s, stalled_s = fleet.lag.stalled_s - stalled_s, fleet.lag.stalled_s
 
 
-def _inflict(fleet, faults, faults_s):
-    begun = time.monotonic()
-    acts = []
+def _inject_faults(fleet, faults, faults_s):
+    started_at = time.monotonic()
+    injections = []
     for fault in faults:
-        _until_broken(fleet, begun + fault.at - time.monotonic())
-        if fleet.promises.broken:
+        _wait_unless_violated(fleet, started_at + fault.at - time.monotonic())
+        if fleet.checker.violations:
             break
-        acts.append(gevent.spawn(FAULTS[fault.kind], fleet, fault))
-    _until_broken(fleet, begun + faults_s - time.monotonic())
-    gevent.joinall(acts)
+        injections.append(gevent.spawn(FAULTS[fault.kind], fleet, fault))
+    _wait_unless_violated(fleet, started_at + faults_s - time.monotonic())
+    gevent.joinall(injections)
 
 
-def _recover(fleet):
-    """End all faults, and ask for service as before a little later."""
+def _check_recovery(fleet):
+    """End all faults, and check that requests are served again after a while."""
     fleet.heal()
     for node in fleet.nodes:
         node.start()
-    _until_settled(fleet)
-    before = Counter(fleet.promises.counts)
-    _until_broken(fleet, LAST_S)
-    ends = Counter(fleet.promises.counts) - before
+    _wait_recovery(fleet)
+    before = Counter(fleet.checker.counts)
+    _wait_unless_violated(fleet, FINAL_WINDOW_S)
+    ends = Counter(fleet.checker.counts) - before
     served = sum(n for end, n in ends.items() if end.endswith(" 200"))
     refused = sum(n for end, n in ends.items() if end.endswith(" 429"))
-    owed = sum(ends.values()) - refused
-    if not fleet.promises.broken and served < LEAST_SERVED * max(1, owed):
-        fleet.promises.break_("recovery", f"{served} of {owed} served: {dict(ends)}")
+    expected = sum(ends.values()) - refused
+    if not fleet.checker.violations and served < MIN_SERVED_SHARE * max(1, expected):
+        fleet.checker.record_violation(
+            "recovery", f"{served} of {expected} served: {dict(ends)}"
+        )
 
 
 def main(seed=None, seeds=1, slot=11, mutant="", nodes=NODES, faults_s=FAULTS_S):
-    """Play one seed, or fresh ones; the exit code is that of the worst.
+    """Run one seed, or random ones; exit with 1 if any of them fails.
 
     Parameters
     ----------
     seed
-        The seed to play; without it `seeds` fresh ones are drawn.
+        The seed to run; without it, `seeds` random ones are drawn.
     slot
-        Second number of the loopback addresses, so that several can run at once.
+        Second number of the loopback addresses, so that several runs can run at once.
     """
     chosen = [seed] if seed is not None else random.sample(range(10**6), seeds)
     worst = 0
     for number in chosen:
-        outcome = play(number, slot=slot, mutant=mutant, nodes=nodes, faults_s=faults_s)
+        outcome = run_seed(
+            number, slot=slot, mutant=mutant, nodes=nodes, faults_s=faults_s
+        )
         print(outcome.line, flush=True)
-        for line in outcome.broken:
+        for line in outcome.violations:
             print(f"  {line}", flush=True)
-        if outcome.broken:
+        if outcome.violations:
             print(f"  {dict(sorted(outcome.counts.items()))}", flush=True)
             print(f"  {dict(outcome.faults)}\n  logs: {outcome.directory}", flush=True)
             worst = 1
--- a/tests/soak/standins.py
+++ b/tests/soak/standins.py
@@ -1,6 +1,6 @@
-"""Stand-ins of the platform and of servers, by their published protocol.
+"""Fakes of the platform and of backend servers that speak their published protocols.
 
-They run in the soak's process, so that it sees each call and each run.
+They run in the soak's process, which therefore observes each call and each run.
 """
 
 import base64
@@ -29,7 +29,7 @@
 
 
 class Handler(WSGIHandler):
-    """Lets an application reset its caller's connection."""
+    """Gives the application the caller's socket, to reset the connection with."""
 
     def get_environ(self):
         environ = super().get_environ()
@@ -62,14 +62,14 @@
         try:
             body = environ["wsgi.input"].read()
         except OSError:
-            return []  # cut off before the request was whole
+            return []  # the connection ended before the request was complete
         return self.answer(environ, body, start)
 
     def answer(self, environ, body, start):
         raise NotImplementedError
 
     def stop(self):
-        """End at once, with all connections, as a killed process does."""
+        """Stop and reset all connections, as the death of a process does."""
         self.server.close()
         for sock in self.sockets:
             reset(sock)
@@ -77,7 +77,7 @@
 
 
 def respond(start, status, data=b"", headers=()):
-    """Answer with `data`, JSON unless it is bytes."""
+    """Send a response with `data`, encoded as JSON unless it is bytes."""
     if not isinstance(data, bytes):
         data = json.dumps(data).encode()
     names = {"Content-Length": str(len(data))} | dict(headers)
@@ -85,30 +85,30 @@
     return [data]
 
 
-class MadeStore(Listener):
+class FakeStore(Listener):
     """The platform's store: a log of records by topic.
 
     Attributes
     ----------
     down : bool
-        Whether every call is turned away.
-    losing : bool
-        Whether appends are carried out and their answers lost.
+        Whether every call is refused with 503.
+    losing_responses : bool
+        Whether appends are carried out and their responses lost.
     silent : bool
-        Whether calls that come now are never answered, their connections kept.
-    faulty_at : float
-        When the last fault ended, seconds on the monotonic clock.
+        Whether calls that arrive now never get a response; their connections stay open.
+    fault_ended_at : float
+        When the last fault ended, seconds on the monotonic clock; infinite during one.
     """
 
     def __init__(self, host, port):
         self.topics = {}
         self.appended = Event()
-        self.down = self.losing = self.silent = False
-        self.faulty_at = 0.0
+        self.down = self.losing_responses = self.silent = False
+        self.fault_ended_at = 0.0
         super().__init__(host, port)
 
     def put(self, topic, key, value):
-        """Write one keyed record, as the operators and the servers do."""
+        """Append one keyed record, as the operators and the servers do."""
         name = key.encode()
         self._append(topic, [bytes([len(name)]) + name + value])
 
@@ -142,7 +142,7 @@
             found.append(body[FRAME.size : FRAME.size + length])
             body = body[FRAME.size + length :]
         self._append(query["topic"], found)
-        if self.losing:
+        if self.losing_responses:
             reset(environ["soak.socket"])
         return respond(start, 200, {"offset": offset, "end": len(records)})
 
@@ -175,63 +175,63 @@
     }
 
 
-class MadeCloud(Listener):
-    """What takes orders of servers and reports of usage."""
+class FakeCloud(Listener):
+    """The cloud service that receives orders of servers and usage reports."""
 
-    def __init__(self, host, port, promises):
-        self.promises = promises
-        self.down = self.losing = False
+    def __init__(self, host, port, checker):
+        self.checker = checker
+        self.down = self.losing_responses = False
         super().__init__(host, port)
 
     def answer(self, environ, body, start):
         if self.down:
             return respond(start, 503)
-        self.promises.called(
+        self.checker.duty_called(
             environ["PATH_INFO"],
             json.loads(body),
             environ["HTTP_DUTY_HOLDER"],
             int(environ["HTTP_FENCING_TOKEN"]),
         )
-        if self.losing:
+        if self.losing_responses:
             reset(environ["soak.socket"])
         return respond(start, 200, {})
 
 
 def plain_body(request_id):
-    """Return the right answer to a plain request."""
+    """Return the expected response body of a plain request."""
     return hashlib.sha256(request_id.encode()).hexdigest().encode() * 8
 
 
 def event(request_id, number):
-    """Return the right bytes of one event of a stream."""
+    """Return the expected bytes of one event of a stream."""
     data = hashlib.sha256(f"{request_id}/{number}".encode()).hexdigest()
     return f"id: {number}\ndata: {data}\n\n".encode()
 
 
-class MadeServer(Listener):
+class FakeServer(Listener):
     """A backend server.
 
     Attributes
     ----------
-    erring : float
-        Share of requests that it answers with 500 after running them.
+    error_share : float
+        Share of requests that get a 500 after they ran.
     work_s : float
-        Time that a plain request takes, seconds.
+        Time to run a plain request, seconds.
     """
 
-    def __init__(self, host, port, *, server_id, service, born, promises):
+    def __init__(self, host, port, *, server_id, service, born, checker):
         self.id = server_id
         self.service = service
         self.born = born
-        self.promises = promises
+        self.checker = checker
         self.running = 0
-        self.erring = 0.0
+        self.error_share = 0.0
         self.work_s = WORK_S
         self.number = 0
         super().__init__(host, port)
 
     def entry(self, address, zone, state="ready", leaves_s=None):
-        """Return what it next writes of itself in the store."""
+        """Return the next entry that this server writes to the store."""
         self.number += 1
         entry = {
             "service": self.service,
@@ -256,7 +256,9 @@
         if not request_id or self.running >= SLOTS + QUEUE:
             return respond(start, 503, b"", headers | {"Not-Run": "1"})
         headers["Response-Seal"] = "made"
-        self.promises.ran(request_id, self.id, environ.get("HTTP_TENANT", ""))
+        self.checker.request_started(
+            request_id, self.id, environ.get("HTTP_TENANT", "")
+        )
         self.running += 1
         try:
             if self._errs_on(request_id):
@@ -269,9 +271,9 @@
             self.running -= 1
 
     def _errs_on(self, request_id):
-        # By a fixed hash: the built-in one of text differs from process to process.
+        # CRC-32, since the built-in hash of a string differs between processes.
         drawn = zlib.crc32(f"{request_id}/{self.id}".encode()) % 100
-        return drawn < self.erring * 100
+        return drawn < self.error_share * 100
 
     def _stream(self, request_id, environ, start, headers):
         first = int(environ.get("HTTP_LAST_EVENT_ID") or 0) + 1
