--- a/benchmarks/bench_handover.py
+++ b/benchmarks/bench_handover.py
@@ -39,12 +39,12 @@
     """Return seconds by event for one handover of `count` requests."""
     with (
         tempfile.TemporaryDirectory() as folder,
-        reclaims.started(
+        reclaims.running_installation(
             Path(folder), engines=ENGINES, max_concurrent=64, **ENGINE
         ) as (cluster, _),
     ):
         first = cluster.nodes[0]
-        fleet = reclaims.start_fleet(
+        fleet = reclaims.start_callers(
             cluster,
             count,
             MAX_TOKENS,
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data, and of separate processes on loopback to test with."""
+"""Builders of test data, and of separate processes on loopback."""
 
 import hashlib
 import itertools
@@ -33,7 +33,7 @@
 
 
 def free_port():
-    """Return a port of this worker's own range that nothing listens on."""
+    """Return an unused port from the range of this test worker."""
     while True:
         offset = next(_offsets) % PORTS_PER_WORKER
         port = FIRST_PORT + _worker * PORTS_PER_WORKER + offset
@@ -46,7 +46,7 @@
 
 
 def expected_tokens(prompt, count):
-    """Return the tokens that an engine stand-in answers to `prompt`."""
+    """Return the tokens that an engine stand-in generates for `prompt`."""
     return [
         xxhash.xxh3_64_hexdigest(f"{prompt}\0{index}".encode())[:6] + " "
         for index in range(count)
@@ -54,7 +54,7 @@
 
 
 def call(method, url, body=None, headers=None, **options):
-    """Return urllib3's response to one JSON call."""
+    """Send one request with a JSON body; return urllib3's response."""
     return http.request(
         method,
         url,
@@ -66,15 +66,15 @@
 
 
 def wait_until(condition, what, timeout_s=START_TIMEOUT_S):
-    """Wait until `condition()` is true; fail with `what` if it never is."""
+    """Wait until `condition()` is true; fail with `what` after `timeout_s`."""
     deadline = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < deadline, f"waited in vain: {what}"
+        assert time.monotonic() < deadline, f"timed out after {timeout_s} s: {what}"
         time.sleep(0.02)
 
 
-def answers_ok(url):
-    """Return whether a GET of `url` is answered with 200."""
+def responds_ok(url):
+    """Return whether a GET of `url` returns 200 within two seconds."""
     try:
         return http.request("GET", url, timeout=2.0).status == 200
     except urllib3.exceptions.HTTPError:
@@ -83,7 +83,7 @@
 
 @dataclass
 class Service:
-    """A process that was started, and the address it serves."""
+    """A started process, and the port that it serves on."""
 
     name: str
     process: subprocess.Popen
@@ -99,11 +99,11 @@
         return f"http://{self.address}"
 
     def is_ready(self):
-        """Return whether the process listens."""
+        """Return whether the process has logged that it listens."""
         return "ready port=" in self.output.read_text()
 
     def faults(self, **order):
-        """Order faults from a stand-in."""
+        """Inject faults into a stand-in."""
         assert call("POST", f"{self.url}/faults", order).status == 200
 
     def stats(self):
@@ -114,7 +114,7 @@
         self.process.send_signal(number)
 
     def kill(self):
-        """End the process at once, as a reclaim does."""
+        """Kill the process with SIGKILL, as the end of a reclaim notice does."""
         self.process.kill()
         self.process.wait()
 
@@ -136,10 +136,10 @@
 
     def is_ready(self):
         """Return whether the node has a configuration."""
-        return answers_ok(self.url + "/healthz")
+        return responds_ok(self.url + "/healthz")
 
     def post(self, path, body, **headers):
-        """Send a caller's call; underscores in header names become hyphens."""
+        """Send a caller's request; underscores in header names become hyphens."""
         named = {key.replace("_", "-"): value for key, value in headers.items()}
         return call(
             "POST",
@@ -149,7 +149,7 @@
         )
 
     def operate(self, method, path, body=None, token=OPERATOR_TOKEN):
-        """Send an operator's call."""
+        """Send a request to the administration API."""
         return call(
             method,
             self.operator_url + path,
@@ -160,7 +160,7 @@
 
 @dataclass
 class Cluster:
-    """Separate processes for one test, all ended with it."""
+    """The separate processes of one test; :meth:`stop` ends them all."""
 
     folder: Path
     services: list = field(default_factory=list)
@@ -170,7 +170,7 @@
     operators: list = field(default_factory=list)
 
     def start(self, name, command, port, kind=Service, **fields):
-        """Start `command` and remember it; its output goes to a file."""
+        """Start `command` with its output in a file, to be ended by :meth:`stop`."""
         output = self.folder / f"{name}.out"
         with output.open("ab") as sink:
             process = subprocess.Popen(command, stdout=sink, stderr=sink)
@@ -210,7 +210,7 @@
         return self.standin("plain", name, id=name, **options)
 
     def add_nodes(self, count=2, *, ready=True, **sections):
-        """Start `count` nodes, in zones by turn, and wait until they listen."""
+        """Start `count` nodes, round-robin over the zones, and wait until ready."""
         first = len(self.nodes)
         plans = [self._plan(first + index) for index in range(count)]
         known = [node_plan(node) for node in self.nodes] + plans
@@ -224,7 +224,9 @@
         """Wait until every node has a configuration."""
         for node in self.nodes:
             if node.process.poll() is None:
-                wait_until(lambda url=node.url: answers_ok(url + "/healthz"), node.name)
+                wait_until(
+                    lambda url=node.url: responds_ok(url + "/healthz"), node.name
+                )
 
     def _plan(self, index):
         return {
@@ -253,8 +255,8 @@
             settings_path=path,
         )
 
-    def start_again(self, node):
-        """Start a stopped node with the same settings, and nothing else kept."""
+    def start_stopped(self, node):
+        """Start a stopped node with the same settings; it has no other state."""
         command = [
             sys.executable,
             "-m",
@@ -267,16 +269,16 @@
 
     def restart(self, node):
         """Start a stopped node again and wait until it has a configuration."""
-        self.start_again(node)
-        wait_until(lambda: answers_ok(node.url + "/healthz"), node.name)
+        self.start_stopped(node)
+        wait_until(lambda: responds_ok(node.url + "/healthz"), node.name)
 
     def apply(self, *resources, node=None):
-        """Apply resources through a node's operators' API."""
+        """Apply resources through a node's administration API."""
         node = node or self.nodes[0]
         for resource in resources:
             path = f"/v1/resources/{resource['kind']}/{resource['name']}"
-            answer = node.operate("PUT", path, resource)
-            assert answer.status == 200, answer.data
+            response = node.operate("PUT", path, resource)
+            assert response.status == 200, response.data
 
     def wait_in_force(self, node, model="chat"):
         """Wait until `node` serves `model`."""
@@ -297,7 +299,7 @@
 
 
 def node_plan(node):
-    """Return the plan that a running node was started from."""
+    """Return the part of a running node's plan that its peers need."""
     return {
         "id": node.node_id,
         "zone": node.zone,
@@ -307,7 +309,7 @@
 
 
 def settings_toml(plan, known, cluster, sections):
-    """Return a node's settings file."""
+    """Return the text of a node's settings file."""
     platform = {"log": cluster.log.url, "timeout_s": 1.0}
     if cluster.cloud:
         platform |= {"cloud": cluster.cloud.url, "notice_poll_s": 0.1}
@@ -315,7 +317,10 @@
     lines = []
     for section in given | sections:
         values = given.get(section, {}) | sections.get(section, {})
-        lines += [f"[{section}]", *(f"{k} = {quoted(v)}" for k, v in values.items())]
+        lines += [
+            f"[{section}]",
+            *(f"{k} = {toml_value(v)}" for k, v in values.items()),
+        ]
     for peer in known:
         if peer["id"] != plan["id"]:
             lines += [
@@ -331,13 +336,13 @@
         "organisation": "*",
     }
     for operator in (admin, *cluster.operators):
-        pairs = (f"{key} = {quoted(value)}" for key, value in operator.items())
+        pairs = (f"{key} = {toml_value(value)}" for key, value in operator.items())
         lines += ["[[operators]]", *pairs]
     return "\n".join(lines) + "\n"
 
 
-def quoted(value):
-    """Return a TOML value."""
+def toml_value(value):
+    """Return `value` as a TOML value."""
     if isinstance(value, bool):
         return str(value).lower()
     return f'"{value}"' if isinstance(value, str) else str(value)
@@ -355,7 +360,7 @@
 
 
 def service(name, servers, kind="engine", **spec):
-    """Return a backend server service of running stand-ins, zones by turn."""
+    """Return a service of running stand-ins, round-robin over the zones."""
     listed = [
         {
             "id": server.name,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 
 @pytest.fixture
 def cluster(tmp_path):
-    """Separate processes that end with the test."""
+    """Start separate processes, which end with the test."""
     started = builders.Cluster(tmp_path)
     yield started
     started.stop()
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,7 +1,8 @@
-"""Many callers at once in one process, each with one streamed request.
+"""Many concurrent callers in one process, each with one streamed request.
 
-A caller does what docs/RECLAIM.md asks of callers: it goes on at another node with the
-request's id and the index it needs next, or sends the request again with its key.
+A caller follows the rules for callers in docs/RECLAIM.md: after a lost connection it
+resumes at another node with the request's id and the index of the next token, or sends
+the request again with its idempotency key.
 """
 
 from gevent import monkey
@@ -20,19 +21,19 @@
 import xxhash  # noqa: E402
 
 GIVE_UP_S = 120.0
-PAUSE_S = 0.1
+RETRY_PAUSE_S = 0.1
 ERRORS = (urllib3.exceptions.HTTPError, OSError)
-NEXT_NODE = ("stopping", "not_ready")
+RETRY_CODES = ("stopping", "not_ready")
 
 
 def expected_token(prompt, index):
-    """Return the token that an engine stand-in makes."""
+    """Return the token that an engine stand-in generates."""
     return xxhash.xxh3_64_hexdigest(f"{prompt}\0{index}".encode())[:6] + " "
 
 
 @dataclass
-class Fleet:
-    """All callers, and what became of their requests."""
+class CallerFleet:
+    """All callers, and the outcomes of their requests."""
 
     nodes: list
     key: str
@@ -47,11 +48,11 @@
     failures: list = field(default_factory=list)
 
     def run(self):
-        """Send all requests at once and wait for all answers."""
+        """Send all requests and wait until each caller has finished."""
         self.pool = urllib3.PoolManager(maxsize=self.requests, retries=False)
         callers = [Caller(self, number) for number in range(self.requests)]
-        # Connections made all at once overflow the listener's queue; the kernel then
-        # tries again only a second or more later.
+        # Too many simultaneous connections overflow the listener's backlog, and the
+        # kernel retries them only after a second or more.
         gap_s = 1 / self.per_s if self.per_s else 0.0
         gevent.joinall(
             [
@@ -81,23 +82,23 @@
         self.ended = ""
 
     def run(self):
-        """Call until the answer is whole or the caller gives up."""
+        """Send requests until the response is complete or `GIVE_UP_S` is over."""
         deadline = time.monotonic() + GIVE_UP_S
         while not self.ended and time.monotonic() < deadline:
             try:
                 self.call()
             except ERRORS:
                 self.fleet.counts["broken_connections"] += 1
-                self.turn()
-        self.judge()
+                self.switch_node()
+        self.check_result()
 
-    def turn(self):
-        """Go to the next node."""
+    def switch_node(self):
+        """Switch to the next node after a pause."""
         self.node = next(self.nodes)
-        gevent.sleep(PAUSE_S)
+        gevent.sleep(RETRY_PAUSE_S)
 
     def call(self):
-        """Send the request, or go on with its answer if its id is known."""
+        """Send the request, or resume its response if its id is known."""
         headers = {
             "Authorization": f"Bearer {self.fleet.key}",
             "Content-Type": "application/json",
@@ -134,42 +135,44 @@
             timeout=urllib3.Timeout(connect=1.0, read=GIVE_UP_S),
         )
         if response.status != 200:
-            self.refused(msgspec.json.decode(response.read())["error"])
+            self.handle_error(msgspec.json.decode(response.read())["error"])
             return
         self.request_id = response.headers["X-Request-Id"]
         self.read(response, index)
 
-    def refused(self, error):
-        """Do what an error body asks for."""
+    def handle_error(self, error):
+        """Act on an error body: retry at the next node, or end."""
         code = error["code"]
         self.fleet.counts[code] += 1
         if code == "moved":
             self.request_id = error["request_id"]
         elif code == "unknown_request":
             self.request_id = ""
-        elif code not in NEXT_NODE:
+        elif code not in RETRY_CODES:
             self.ended = code
             return
         gevent.sleep(error.get("retry_after_s", 0.0))
-        self.turn()
+        self.switch_node()
 
     def read(self, response, index):
-        """Take the events of a stream that begins at token `index`."""
+        """Read the events of a stream that begins at token `index`."""
         buffer = b""
         for data in response.stream(65536):
             *events, buffer = (buffer + data).split(b"\n\n")
             for event in events:
-                index = self.take(event, index)
+                index = self.apply_event(event, index)
                 if index is None:
                     response.close()
                     return
-        raise urllib3.exceptions.ProtocolError("the stream ended early")
+        raise urllib3.exceptions.ProtocolError("stream ended without [DONE]")
 
-    def take(self, event, index):
-        """Take one event; return the next index, or ``None`` at the end."""
+    def apply_event(self, event, index):
+        """Apply one event; return the next index, or ``None`` at the end."""
         lines = event.split(b"\n")
         if lines[0] == b"event: error":
-            self.refused(msgspec.json.decode(lines[1].removeprefix(b"data: "))["error"])
+            self.handle_error(
+                msgspec.json.decode(lines[1].removeprefix(b"data: "))["error"]
+            )
             return None
         data = lines[-1].removeprefix(b"data: ")
         if data == b"[DONE]":
@@ -186,8 +189,8 @@
             self.tokens.append(text)
         return index + 1
 
-    def judge(self):
-        """Compare the answer with the only right one, token by token."""
+    def check_result(self):
+        """Compare the response with the expected one, token by token."""
         size = self.fleet.max_tokens
         right = [expected_token(self.prompt, index) for index in range(size)]
         if self.ended == "whole" and self.tokens == right:
@@ -213,7 +216,7 @@
 ):
     """Print one line of JSON: counts by outcome, and failures."""
     urls = nodes if isinstance(nodes, list | tuple) else str(nodes).split(",")
-    fleet = Fleet(
+    fleet = CallerFleet(
         list(urls),
         key,
         requests,
--- a/tests/made_network.py
+++ b/tests/made_network.py
@@ -1,4 +1,4 @@
-"""Builders of many memberships in one process, over a network made of a list."""
+"""A simulated network of many membership instances in one process."""
 
 import random
 from dataclasses import replace
@@ -12,7 +12,7 @@
 
 
 def member(number, **fields):
-    """Return a live member; its texts have the lengths of real ones."""
+    """Return a live member whose ids and addresses have realistic lengths."""
     values = {
         "id": f"node-{number:03d}",
         "zone": ZONES[number % len(ZONES)],
@@ -25,12 +25,12 @@
 
 
 class Fleet:
-    """Memberships whose datagrams arrive at once, or are lost.
+    """Membership instances whose datagrams arrive immediately or are lost.
 
     Attributes
     ----------
     blocked : callable
-        Tells for (sender, receiver) addresses whether the datagram is lost.
+        Returns whether a datagram is lost, for the sender's and receiver's addresses.
     """
 
     def __init__(self, count, seed=1, loss=0.0, timings=None):
@@ -48,7 +48,7 @@
         return self.time
 
     def add(self, me, seeds=3):
-        """Start a node that knows some of the running ones, and return it."""
+        """Start a node that knows up to `seeds` of the running ones; return it."""
         node = Membership(
             me, FactTable(self.now), self.now, self.random, self.timings, ROUND_S
         )
@@ -58,11 +58,11 @@
         return node
 
     def stop(self, node):
-        """End a node without a word, as a killed process does."""
+        """Remove a node without an announcement, as a killed process ends."""
         del self.nodes[node.me.gossip_address]
 
     def restart(self, node, **fields):
-        """Start a stopped node again; it keeps nothing."""
+        """Start a stopped node again without its state."""
         fields = {"incarnation": node.me.incarnation + 60} | fields
         return self.add(replace(node.me, heartbeat=0, **fields))
 
@@ -94,12 +94,12 @@
         """Run until `condition(node)` holds on every node; return the seconds."""
         started = self.time
         while not all(condition(node) for node in self.nodes.values()):
-            assert self.time - started < limit_s, "waited in vain"
+            assert self.time - started < limit_s, f"condition false after {limit_s} s"
             self.round()
         return self.time - started
 
     def all_live(self):
-        """Return a condition: the node sees exactly the running nodes as live."""
+        """Return a condition: a node lists exactly the running nodes as live."""
         ids = sorted(
             node.me.id
             for node in self.nodes.values()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,6 +1,6 @@
-"""Configuration over separate processes: in force everywhere, and never an older one.
+"""Configuration over separate processes: it reaches all nodes and never goes back.
 
-Priorities are what the tests change: small, and seen at once through any node.
+The tests change priorities, since these are small and any node shows them at once.
 """
 
 import threading
@@ -11,7 +11,7 @@
 
 PRIORITY = "/v1/resources/priority"
 IN_FORCE_WITHIN_S = 13.0
-RACERS = 4
+OPERATORS = 4
 
 
 def put(node, name, level, query=""):
@@ -20,8 +20,8 @@
 
 
 def level(node, name="vip"):
-    answer = node.operate("GET", f"{PRIORITY}/{name}")
-    return answer.json()["spec"]["level"] if answer.status == 200 else None
+    response = node.operate("GET", f"{PRIORITY}/{name}")
+    return response.json()["spec"]["level"] if response.status == 200 else None
 
 
 def snapshots(cluster):
@@ -30,8 +30,8 @@
 
 
 def refusal(node):
-    answer = node.post("/v1/completions", {"model": "chat", "prompt": "x"})
-    return answer.status, answer.json()["error"]["code"]
+    response = node.post("/v1/completions", {"model": "chat", "prompt": "x"})
+    return response.status, response.json()["error"]["code"]
 
 
 @pytest.mark.processes
@@ -53,35 +53,35 @@
 
 @pytest.mark.processes
 def test_racing_operators_are_each_told_who_won(cluster):
-    """Operators at different nodes change what all of them saw at one version, at the
-    same moment. One change is in force, and nobody believes in another one."""
+    """Operators at different nodes change the same version of a resource at the same
+    time. One change takes effect, and the other operators get a version conflict."""
     cluster.with_log()
-    nodes = cluster.add_nodes(RACERS)
+    nodes = cluster.add_nodes(OPERATORS)
     for race in range(3):
         query = f"?expected_version={put(nodes[0], 'vip', 50).json()['version']}"
         builders.wait_until(
             lambda: all(level(node) == 50 for node in nodes), "the start of the race"
         )
-        answers = [None] * RACERS
+        responses = [None] * OPERATORS
 
-        def run(index, query=query, answers=answers):
-            answers[index] = put(nodes[index], "vip", index, query)
+        def run(index, query=query, responses=responses):
+            responses[index] = put(nodes[index], "vip", index, query)
 
         if race == 1:
             cluster.log.faults(lose_answers=2)
         if race == 2:
             cluster.log.faults(late_appends={"count": 2, "delay_s": 1.0})
-        threads = [threading.Thread(target=run, args=(i,)) for i in range(RACERS)]
+        threads = [threading.Thread(target=run, args=(i,)) for i in range(OPERATORS)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        won = [i for i, answer in enumerate(answers) if answer.status == 200]
-        assert len(won) == 1, [answer.data for answer in answers]
-        version = answers[won[0]].json()["version"]
-        for index, answer in enumerate(answers):
+        won = [i for i, response in enumerate(responses) if response.status == 200]
+        assert len(won) == 1, [response.data for response in responses]
+        version = responses[won[0]].json()["version"]
+        for index, response in enumerate(responses):
             if index not in won:
-                error = answer.json()["error"]
+                error = response.json()["error"]
                 assert (error["code"], error["version"]) == (
                     "version_conflict",
                     version,
@@ -95,8 +95,8 @@
 
 @pytest.mark.processes
 def test_nodes_started_in_an_outage_serve_what_their_peers_hold(cluster):
-    """The log is down for long while a machine is replaced. The new node must not serve
-    without a configuration, nor with an older one than its peers have in force."""
+    """A node is replaced during a long outage of the log. The new node must not serve
+    without a configuration, nor with one older than that of its peers."""
     cluster.with_log()
     nodes = cluster.add_nodes(3)
     for number in range(5):
@@ -112,8 +112,8 @@
 
 @pytest.mark.processes
 def test_node_without_log_and_peers_is_not_ready(cluster):
-    """Everything was restarted while the log is down: to serve without a configuration
-    would be to refuse every caller as unknown."""
+    """All nodes restart while the log is down. A node that served without a
+    configuration would refuse every caller as unknown."""
     cluster.with_log()
     builders.wait_until(cluster.log.is_ready, "the log")
     cluster.log.faults(outage_s=120)
@@ -129,8 +129,8 @@
 
 @pytest.mark.processes
 def test_restart_after_the_log_forgot_the_changes(cluster):
-    """Retention has dropped every change; a new node has only the newest snapshot. It
-    must not begin with an empty configuration, nor miss what came after."""
+    """The log's retention has dropped changes that only a snapshot still contains. A
+    restarted node must neither begin with an empty configuration nor miss changes."""
     cluster.with_log()
     nodes = cluster.add_nodes(2, configuration={"snapshot_every_records": 10})
     for count in (1, 2):
@@ -151,9 +151,9 @@
 
 @pytest.mark.processes
 def test_retention_past_the_last_snapshot_skips_nothing(cluster):
-    """No snapshot was written, and the log has dropped some changes. A node that folded
-    what is left would serve a configuration with holes, and nobody would notice: it
-    takes its peers' state, and with no peer it stays not ready."""
+    """No snapshot was written, and the log has dropped some changes. A node that
+    applied only the remaining ones would silently serve an incomplete configuration. It
+    takes its peers' configuration instead; without a peer it stays not ready."""
     cluster.with_log()
     nodes = cluster.add_nodes(2)
     assert put(nodes[0], "early", 1).status == 200
@@ -166,7 +166,7 @@
     for node in nodes:
         node.kill()
     nodes[0].output.write_text("")
-    cluster.start_again(nodes[0])
+    cluster.start_stopped(nodes[0])
     builders.wait_until(
         lambda: "event=configuration_gap" in nodes[0].output.read_text(), "the gap"
     )
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions under load, in separate processes."""
+"""Admission and placement under load, in separate processes."""
 
 import re
 from concurrent.futures import ThreadPoolExecutor
@@ -11,7 +11,7 @@
     return {"kind": kind, "name": name, "owner": "kerloch", "spec": spec}
 
 
-def declared(cluster, engines, *, slots):
+def declare_resources(cluster, engines, *, slots):
     servers = [
         {"id": engine.name, "address": engine.address, "zone": "brest"}
         for engine in engines
@@ -37,7 +37,7 @@
 
 
 def wait_idle(node):
-    """Wait until the node's reports, which lag, no longer show the warm-up calls."""
+    """Wait until the servers' reports no longer include the warm-up requests."""
 
     def is_idle():
         servers = node.operate("GET", "/v1/status").json()["servers"]
@@ -49,44 +49,44 @@
 
 @pytest.mark.processes
 def test_burst_beyond_capacity_is_refused_at_once_and_counted(cluster):
-    """A broker sends 60 calls of a second each at servers that run 8 at a time. Those
-    that can't start within the target are refused as not run, each with a time to come
-    back; the others are answered whole, and the counter agrees with the callers."""
+    """60 requests of a second each arrive at once at servers that run 8 at a time.
+    Those that can't start within the target are refused as not run, with a retry-after;
+    the others get complete responses. The counter equals the refusals."""
     cluster.with_log()
     engines = [
         cluster.engine(f"engine-{i}", decode_tokens_per_s=50, max_batch=4)
         for i in (1, 2)
     ]
     (node,) = cluster.add_nodes(1)
-    declared(cluster, engines, slots=4)
+    declare_resources(cluster, engines, slots=4)
     wait_idle(node)
     body = {"model": "chat", "prompt": "Quote Taipei to Naha.", "max_tokens": 50}
     with ThreadPoolExecutor(60) as pool:
-        answers = list(
+        responses = list(
             pool.map(lambda _: node.post("/v1/completions", body), range(60))
         )
-    refused = [answer for answer in answers if answer.status != 200]
+    refused = [response for response in responses if response.status != 200]
     whole = "".join(builders.expected_tokens(body["prompt"], 50))
-    assert 8 <= len(answers) - len(refused) < 40
-    for answer in answers:
-        if answer.status == 200:
-            assert answer.json()["choices"][0]["text"] == whole
-    for answer in refused:
-        error = answer.json()["error"]
+    assert 8 <= len(responses) - len(refused) < 40
+    for response in responses:
+        if response.status == 200:
+            assert response.json()["choices"][0]["text"] == whole
+    for response in refused:
+        error = response.json()["error"]
         assert (error["code"], error["executed"]) == ("overloaded", "no")
         assert error["retry_after_s"] > 0
-        assert int(answer.headers["Retry-After"]) >= 1
+        assert int(response.headers["Retry-After"]) >= 1
     assert counter(node, "endive_refused_overloaded") == len(refused)
 
 
 @pytest.mark.processes
-def test_conversation_meets_its_cached_prefix_through_another_node(cluster):
-    """The turns of a conversation reach different nodes, which have never spoken. The
-    second turn still goes to the engine that holds the first one's prefix."""
+def test_conversation_reuses_its_cached_prefix_through_another_node(cluster):
+    """The requests of a conversation reach different nodes. The second request still
+    goes to the engine that has cached the first one's prefix."""
     cluster.with_log()
     engines = [cluster.engine(f"engine-{i}") for i in range(4)]
     nodes = cluster.add_nodes(2)
-    declared(cluster, engines, slots=16)
+    declare_resources(cluster, engines, slots=16)
     for number in range(8):
         prompt = f"Club {number}. " + "Season summary of all courts. " * 60
         for node in nodes:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The docs' commands, settings and metrics are those of the code."""
+"""Checks that commands, settings and metrics in the docs match the code."""
 
 import re
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 def test_settings_table_is_that_of_the_models():
-    """An operator reads a default that the code no longer has."""
+    """Otherwise operators would read defaults that the code no longer has."""
     page = text_of("docs/OPERATIONS.md")
     table = page.split("<!-- settings -->\n")[1].split("<!-- end of settings -->")[0]
     rows = [f"| `{r.key}` | {r.default} | {r.description} |" for r in setting_rows()]
@@ -27,13 +27,13 @@
 
 
 def test_errors_table_is_that_of_the_code():
-    """A caller reads that a kind was not run, and the code says unknown."""
+    """Otherwise callers could read "not run" where the code reports "unknown"."""
     page = text_of("docs/CALLERS.md")
     table = page.split("<!-- errors -->\n")[1].split("<!-- end of errors -->")[0]
     rows = [
-        f"| `{kind}` | {answer.status} | {answer.executed} "
-        f"| {answer.retry_after_s or 'no use'} |"
-        for kind, answer in ERROR_RESPONSES.items()
+        f"| `{kind}` | {response.status} | {response.executed} "
+        f"| {response.retry_after_s or 'no use'} |"
+        for kind, response in ERROR_RESPONSES.items()
     ]
     assert table.splitlines() == rows
 
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""A planned stop: SIGTERM cuts off no request."""
+"""Graceful shutdown: SIGTERM interrupts no request."""
 
 import itertools
 import signal
@@ -8,50 +8,50 @@
 import builders
 import pytest
 import urllib3
-from reclaims import started, text_of
+from reclaims import running_installation, text_of
 
-HEALTH_S = 0.1
-SETTLE_S = 0.5
+HEALTH_POLL_S = 0.1
+DRAIN_SETTLE_S = 0.5
 
 
 class Balancer:
-    """Sends calls as the platform's balancer does.
+    """A load balancer as a platform has in front of the nodes.
 
-    It looks at /healthz now and then, uses the nodes that said 200 when it last
-    looked, keeps connections, and sends a call elsewhere only if no connection was
-    made or the answer says that it was not executed.
+    It polls /healthz, uses the nodes that returned 200 to the last poll, reuses
+    connections, and retries at another node only if no connection was made or the
+    response says that the request was not executed.
     """
 
     def __init__(self, nodes):
         self.nodes = nodes
         self.healthy = list(nodes)
-        self.turns = itertools.count()
+        self.next_index = itertools.count()
         self.running = True
         self.pool = urllib3.PoolManager(maxsize=64, retries=False)
 
-    def look(self):
-        """Ask all nodes for ever."""
+    def poll_health(self):
+        """Poll the health of all nodes until stopped."""
         while self.running:
             self.healthy = [
-                n for n in self.nodes if builders.answers_ok(n.url + "/healthz")
+                n for n in self.nodes if builders.responds_ok(n.url + "/healthz")
             ]
-            time.sleep(HEALTH_S)
+            time.sleep(HEALTH_POLL_S)
 
     def call(self, body):
-        """Return the answer to one call, or the error that its caller sees."""
+        """Return the response to one call, or the error that its caller gets."""
         for _ in range(10):
             healthy = self.healthy or self.nodes
-            node = healthy[next(self.turns) % len(healthy)]
+            node = healthy[next(self.next_index) % len(healthy)]
             try:
-                answer = self.send(node, body)
+                response = self.send(node, body)
             except urllib3.exceptions.NewConnectionError:
                 continue
             except (urllib3.exceptions.HTTPError, OSError) as error:
                 return error
-            if answer.status == 503 and answer.json()["error"]["executed"] == "no":
+            if response.status == 503 and response.json()["error"]["executed"] == "no":
                 continue
-            return answer
-        return "no node took the call"
+            return response
+        return "no node accepted the request in 10 attempts"
 
     def send(self, node, body):
         return self.pool.request(
@@ -64,30 +64,30 @@
 
 
 def call_steadily(balancer, name, outcomes):
-    """Send one call after the other, streamed and whole by turns."""
+    """Send requests one after the other, alternately streamed and not."""
     for number in itertools.count():
         if not balancer.running:
             return
         prompt = f"{name} {number}"
         body = {"model": "chat", "prompt": prompt, "max_tokens": 20}
-        answer = balancer.call(body | {"stream": number % 2 == 0})
+        response = balancer.call(body | {"stream": number % 2 == 0})
         expected = "".join(builders.expected_tokens(prompt, 20))
-        ok = getattr(answer, "status", 0) == 200 and text_of(answer) == expected
-        outcomes.append("ok" if ok else answer)
+        ok = getattr(response, "status", 0) == 200 and text_of(response) == expected
+        outcomes.append("ok" if ok else response)
 
 
 @pytest.mark.processes
 def test_a_rolling_restart_of_all_nodes_fails_no_call(tmp_path):
-    """Every node is stopped and started again in turn, under steady load.
+    """Every node is restarted in turn under steady load.
 
-    A node that refused calls as soon as it is told to stop, or closed connections
-    with answers under way, would show callers errors until the balancer had looked
-    and for each answer it cut off.
+    A node that refused requests as soon as it receives SIGTERM would cause errors until
+    the balancer's next poll, and one that closed connections with unfinished responses
+    would cause an error for each of them.
     """
-    with started(tmp_path, max_batch=128) as (cluster, _):
+    with running_installation(tmp_path, max_batch=128) as (cluster, _):
         balancer = Balancer(cluster.nodes)
         outcomes = []
-        threads = [threading.Thread(target=balancer.look)]
+        threads = [threading.Thread(target=balancer.poll_health)]
         threads += [
             threading.Thread(target=call_steadily, args=(balancer, f"c{i}", outcomes))
             for i in range(12)
@@ -109,17 +109,17 @@
 
 @pytest.mark.processes
 def test_a_long_answer_is_finished_before_the_process_ends(tmp_path):
-    """A node is told to stop while it streams an answer that takes seconds more.
+    """A node receives SIGTERM while it streams a response that takes seconds more.
 
-    The caller would lose the rest. It gets the whole answer, new calls are refused as
-    not run, and the process ends by itself with code 0.
+    If it ended at once, the caller would lose the rest. The caller gets the complete
+    response, new requests are refused as not run, and the process exits with code 0.
     """
-    with started(tmp_path, nodes=1, engines=1) as (cluster, _):
+    with running_installation(tmp_path, nodes=1, engines=1) as (cluster, _):
         (node,) = cluster.nodes
         body = {"model": "chat", "prompt": "summary", "max_tokens": 80, "stream": True}
-        answers = []
+        responses = []
         caller = threading.Thread(
-            target=lambda: answers.append(node.post("/v1/completions", body))
+            target=lambda: responses.append(node.post("/v1/completions", body))
         )
         caller.start()
         time.sleep(0.3)
@@ -127,10 +127,10 @@
         time.sleep(0.1)
         assert builders.call("GET", node.url + "/healthz").status == 503
         assert node.post("/v1/completions", body | {"max_tokens": 1}).status == 200
-        time.sleep(SETTLE_S + 0.2)
+        time.sleep(DRAIN_SETTLE_S + 0.2)
         refused = node.post("/v1/completions", body).json()["error"]
         assert (refused["code"], refused["executed"]) == ("stopping", "no")
         caller.join()
         expected = "".join(builders.expected_tokens("summary", 80))
-        assert text_of(answers[0]) == expected
+        assert text_of(responses[0]) == expected
         assert node.process.wait(timeout=10) == 0
--- a/tests/test_embedded.py
+++ b/tests/test_embedded.py
@@ -1,4 +1,4 @@
-"""The first command that a newcomer types."""
+"""``endive-node --embedded`` and the commands that it and the README print."""
 
 import re
 import shlex
@@ -12,13 +12,15 @@
 
 @pytest.fixture(scope="module")
 def embedded(tmp_path_factory):
-    """``endive-node --embedded`` and the file that its output goes to."""
+    """Run ``endive-node --embedded``; yield the process and its output file."""
     output = tmp_path_factory.mktemp("embedded") / "output"
     command = [sys.executable, "-m", "endive_node.cli", "--embedded"]
     with output.open("wb") as sink:
         process = subprocess.Popen(command, stdout=sink, stderr=subprocess.STDOUT)
     try:
-        builders.wait_until(lambda: "endivectl" in output.read_text(), "the welcome")
+        builders.wait_until(
+            lambda: "endivectl" in output.read_text(), "the printed commands"
+        )
         yield process, output
     finally:
         process.send_signal(signal.SIGTERM)
@@ -26,7 +28,7 @@
 
 
 def send_curl_line(line):
-    """Send what a pasted curl line would; return the response."""
+    """Send the request of a curl command; return the response."""
     words = shlex.split(line)
     url = next(word for word in words if word.startswith("http://"))
     options = list(zip(words, words[1:], strict=False))
@@ -36,7 +38,7 @@
 
 
 def curl_line(text):
-    """Return the curl line in `text`, its continuations joined."""
+    """Return the curl command in `text` with its continuation lines joined."""
     return re.search(r"^curl -(?:.*\\\n)*.*$", text, re.MULTILINE)[0].replace(
         "\\\n", ""
     )
@@ -45,18 +47,18 @@
 @pytest.mark.processes
 def test_curl_line_works_as_printed(embedded):
     _, output = embedded
-    answer = send_curl_line(curl_line(output.read_text()))
-    assert answer.status == 200
-    assert answer.data.endswith(b"data: [DONE]\n\n")
-    assert answer.data.count(b"data: ") == 9
+    response = send_curl_line(curl_line(output.read_text()))
+    assert response.status == 200
+    assert response.data.endswith(b"data: [DONE]\n\n")
+    assert response.data.count(b"data: ") == 9
 
 
 @pytest.mark.processes
 def test_curl_line_of_the_readme_works(embedded):
     with open("README.md") as page:
-        answer = send_curl_line(curl_line(page.read()))
-    assert answer.status == 200
-    assert answer.data.endswith(b"data: [DONE]\n\n")
+        response = send_curl_line(curl_line(page.read()))
+    assert response.status == 200
+    assert response.data.endswith(b"data: [DONE]\n\n")
 
 
 @pytest.mark.processes
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -48,7 +48,7 @@
         assert Deployment.from_file(path).requests
 
 
-def test_a_figure_that_is_missing_or_unknown_is_named(tmp_path):
+def test_a_missing_or_unknown_field_is_named(tmp_path):
     text = SEVEN.read_text()
     for bad, name in (
         (text.replace("chunk", "chonk"), "chonk"),
@@ -60,7 +60,7 @@
             Deployment.from_file(path)
 
 
-def test_an_engine_reads_a_prompt_at_its_rate_and_makes_tokens_for_all(engine):
+def test_an_engine_prefills_a_prompt_at_its_rate(engine):
     times = []
     engine.submit(stream([(1, 56_600)], 1, times), 0.0)
     drain(engine)
@@ -68,7 +68,7 @@
     assert times[1][1] == "end"
 
 
-def test_a_long_prompt_delays_who_comes_after_it(engine):
+def test_a_long_prompt_delays_later_prompts(engine):
     times = []
     engine.submit(stream([(1, 28_300)], 1, times, "long"), 0.0)
     engine.submit(stream([(2, 566)], 1, times, "short"), 0.0)
@@ -77,7 +77,7 @@
     assert firsts["short"] == pytest.approx(0.51)
 
 
-def test_kept_parts_are_not_read_again(engine):
+def test_cached_parts_are_not_prefilled_again(engine):
     times = []
     engine.submit(stream([(1, 5_000), (2, 600)], 1, times), 0.0)
     drain(engine)
@@ -88,23 +88,23 @@
     assert engine.read_again == 0
 
 
-def test_the_same_seed_plays_the_same(short):
+def test_the_same_seed_gives_the_same_outcomes(short):
     one, other = (Play(short, Options(), 3).run() for _ in range(2))
     assert one.ended == other.ended
     assert len(one.ended) > 200
 
 
 def test_every_request_ends_once(short):
-    """A zone is reclaimed with requests under way; each of them ends all the same."""
+    """A zone is reclaimed while requests run there; each of them ends exactly once."""
     play = Play(short, Options(), 5)
     outcomes = [end.outcome for end in play.run().ended]
     assert not play.running
     assert {"ok", "lost"} <= set(outcomes)
 
 
-def test_without_tellings_more_short_prompts_wait_behind_long_ones(short):
-    """The tool must rank a policy as played days did: of 1,800 short prompts 16 came
-    late without tellings, 10 with them."""
+def test_without_backlogs_more_short_prompts_wait_behind_long_ones(short):
+    """The simulation must rank the policies as runs of the real system do: without the
+    backlogs in state messages 16 of 1,800 short prompts were late, with them 10."""
     calm = short.model_copy(update={"seconds": 25.0})
     late = {}
     for name in ("all", "no-backlogs"):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Announced reclaim of nodes: what is accepted there is answered elsewhere."""
+"""Announced reclaim of nodes: accepted requests are served by other nodes."""
 
 import json
 import signal
@@ -9,13 +9,13 @@
 import pytest
 import urllib3
 from reclaims import (
-    assert_all_whole,
-    in_zone,
+    assert_all_complete,
+    callers_result,
     metric,
+    nodes_in_zone,
     reclaim,
-    result_of,
-    start_fleet,
-    started,
+    running_installation,
+    start_callers,
     text_of,
     wait_accepted,
 )
@@ -23,62 +23,61 @@
 
 @pytest.mark.processes
 def test_a_reclaimed_zone_loses_no_request(tmp_path):
-    """A zone is reclaimed while its node has requests waiting and streaming.
+    """A zone is reclaimed while its node has queued and streaming requests.
 
-    Without a handover the callers' connections break and nobody knows their requests
-    any more. With it every caller has its whole answer, token by token, after going
-    on at another node.
+    Without a handover the callers' connections break and no node knows their requests.
+    With it every caller gets the complete response after resuming at another node.
     """
-    with started(tmp_path) as (cluster, _):
-        fleet = start_fleet(cluster, 90, 100)
+    with running_installation(tmp_path) as (cluster, _):
+        fleet = start_callers(cluster, 90, 100)
         wait_accepted(cluster.nodes, 90)
         reclaim(cluster, "brest")
         time.sleep(3.0)
-        for node in in_zone(cluster, "brest"):
+        for node in nodes_in_zone(cluster, "brest"):
             node.kill()
-        result = result_of(fleet)
-        assert_all_whole(result, 90)
+        result = callers_result(fleet)
+        assert_all_complete(result, 90)
         assert result["counts"]["resumed"] >= 30, result
 
 
 @pytest.mark.processes
 def test_a_second_zone_goes_while_the_first_still_drains(tmp_path):
-    """Two of three zones are reclaimed a second apart, nodes and servers alike.
+    """Nodes and servers of two of three zones are reclaimed a second apart.
 
-    The node in the second zone has just taken requests over when it must go itself.
-    If it kept them, their callers would wait for answers that died with it. It hands
-    them on, and streams leave the servers of both zones.
+    The node in the second zone has just taken requests over when it receives its own
+    notice. If it kept them, they would be lost with it. It hands them over again, and
+    streams leave the servers of both zones.
     """
-    with started(tmp_path, engines=3, max_batch=128) as (cluster, servers):
-        fleet = start_fleet(cluster, 90, 200)
+    with running_installation(tmp_path, engines=3, max_batch=128) as (cluster, servers):
+        fleet = start_callers(cluster, 90, 200)
         wait_accepted(cluster.nodes, 90)
         reclaim(cluster, "brest")
         time.sleep(1.0)
         reclaim(cluster, "quimper")
-        (second,) = in_zone(cluster, "quimper")
+        (second,) = nodes_in_zone(cluster, "quimper")
         time.sleep(1.0)
         taken = metric(second, "endive_handover_requests_taken")
         given = metric(second, "endive_handover_requests_given")
         for number, zone in enumerate(("brest", "quimper")):
             time.sleep(1.0)
-            for process in [*in_zone(cluster, zone), servers[number]]:
+            for process in [*nodes_in_zone(cluster, zone), servers[number]]:
                 process.kill()
-        assert_all_whole(result_of(fleet), 90)
+        assert_all_complete(callers_result(fleet), 90)
         assert taken > 0
         assert given >= 30 + taken
 
 
 @pytest.mark.processes
 def test_a_holder_dies_in_the_middle_of_handing_over(tmp_path):
-    """A node has sent its records and is killed before it could say that it stopped.
+    """A node is killed after sending its handover records, before it reports its stop.
 
-    Its targets hold requests which nobody may be running. If they waited for the
-    sender's word, callers would wait for ever; they start them when the sender must
-    be gone, or when a caller asks.
+    Its targets hold requests that possibly no node runs. If they waited for the report,
+    callers would never get a response. They start the requests once the sender must
+    have ended, or when a caller asks for one.
     """
-    with started(tmp_path) as (cluster, _):
+    with running_installation(tmp_path) as (cluster, _):
         first, *others = cluster.nodes
-        fleet = start_fleet(cluster, 60, 100)
+        fleet = start_callers(cluster, 60, 100)
         wait_accepted(cluster.nodes, 60)
         for node in others:
             node.signal(signal.SIGSTOP)
@@ -87,28 +86,28 @@
         first.kill()
         for node in others:
             node.signal(signal.SIGCONT)
-        assert_all_whole(result_of(fleet), 60)
+        assert_all_complete(callers_result(fleet), 60)
         taken = sum(metric(n, "endive_handover_requests_taken") for n in others)
         assert taken == 20
 
 
 @pytest.mark.processes
 def test_a_target_that_does_not_answer_is_passed_over(tmp_path):
-    """The node that should take a request over is dead, but not yet known to be.
+    """The target of a handover is dead, but not yet detected as such.
 
-    A node that waited for it would die with its requests; the next one takes them.
+    A node that waited for it would end with its requests. The next target takes them.
     """
-    with started(tmp_path) as (cluster, _):
+    with running_installation(tmp_path) as (cluster, _):
         first, second, third = cluster.nodes
         urls = [first, third]
         second.kill()
         cluster.nodes = urls
-        fleet = start_fleet(cluster, 40, 100)
+        fleet = start_callers(cluster, 40, 100)
         wait_accepted(urls, 40)
         reclaim(cluster, first.zone)
         time.sleep(3.0)
         first.kill()
-        assert_all_whole(result_of(fleet), 40)
+        assert_all_complete(callers_result(fleet), 40)
         assert metric(third, "endive_handover_requests_taken") == 20
 
 
@@ -116,15 +115,15 @@
 def test_the_request_sent_again_with_its_key_joins_the_moved_answer(tmp_path):
     """A caller has lost its connection and knows only its idempotency key.
 
-    Without a way to find the moved request, the second call would run all of it a
-    second time, and a caller that sent both would get two answers.
+    If the key didn't lead to the moved request, the repeated call would run the whole
+    request a second time, and its response could differ from the first one.
     """
-    with started(tmp_path) as (cluster, servers):
+    with running_installation(tmp_path) as (cluster, servers):
         first, second, third = cluster.nodes
         body = {"model": "chat", "prompt": "quote", "max_tokens": 120, "stream": True}
-        answers = []
+        responses = []
         caller = threading.Thread(
-            target=lambda: answers.append(
+            target=lambda: responses.append(
                 first.post("/v1/completions", body, Idempotency_Key="k-1")
             )
         )
@@ -133,41 +132,41 @@
         time.sleep(0.5)
         reclaim(cluster, first.zone)
         caller.join()
-        assert b'"code":"moved"' in answers[0].data
-        error = json.loads(answers[0].data.rpartition(b"data: ")[2])["error"]
+        assert b'"code":"moved"' in responses[0].data
+        error = json.loads(responses[0].data.rpartition(b"data: ")[2])["error"]
         request_id = error["request_id"]
         time.sleep(error["retry_after_s"])
         expected = "".join(builders.expected_tokens("quote", 120))
         for node in (second, third):
-            again = node.post(
+            repeated = node.post(
                 "/v1/completions", body | {"stream": False}, Idempotency_Key="k-1"
             )
-            assert text_of(again) == expected
-            assert again.headers["X-Request-Id"] == request_id
+            assert text_of(repeated) == expected
+            assert repeated.headers["X-Request-Id"] == request_id
         runs = sum(
             server.stats()["executions"].get(request_id, 0) for server in servers
         )
         assert runs == 2  # once before the handover, once after it
 
 
-def confirm_at(first, others, outcomes, number):
-    """Send a confirmation until its outcome is told; note each outcome."""
+def send_until_known(first, others, outcomes, number):
+    """Send a non-idempotent request until its outcome is known; record each code."""
     headers = {"Idempotency_Key": f"c-{number}", "Endive_Non_Idempotent": "true"}
     for turn in range(12):
         node = others[turn % 2] if turn else first
         try:
-            answer = node.post("/services/courts/book", {"n": number}, **headers)
+            response = node.post("/services/courts/book", {"n": number}, **headers)
         except urllib3.exceptions.HTTPError:
             continue
-        code = 200 if answer.status == 200 else answer.json()["error"]["code"]
+        code = 200 if response.status == 200 else response.json()["error"]["code"]
         outcomes.setdefault(number, []).append(code)
         if code in (200, "outcome_unknown"):
             return
         time.sleep(0.5)
 
 
-def start_confirmations(cluster):
-    """Start 24 callers at the first node; return the server, callers and outcomes."""
+def start_non_idempotent_callers(cluster):
+    """Start 24 callers at the first node; return the server, threads and outcomes."""
     first, *others = cluster.nodes
     plain = cluster.plain("court-1", service_s=0.5)
     builders.wait_until(plain.is_ready, plain.name)
@@ -177,7 +176,9 @@
     )
     outcomes = {}
     callers = [
-        threading.Thread(target=confirm_at, args=(first, others, outcomes, number))
+        threading.Thread(
+            target=send_until_known, args=(first, others, outcomes, number)
+        )
         for number in range(24)
     ]
     for caller in callers:
@@ -186,68 +187,67 @@
     return plain, callers, outcomes
 
 
-def repeat_confirmations(node):
-    """Send each confirmation again; return the codes."""
+def repeat_requests(node):
+    """Send each non-idempotent request again; return the codes."""
     codes = []
     for number in range(24):
-        answer = node.post(
+        response = node.post(
             "/services/courts/book",
             {"n": number},
             Idempotency_Key=f"c-{number}",
             Endive_Non_Idempotent="true",
         )
-        code = 200 if answer.status == 200 else answer.json()["error"]["code"]
+        code = 200 if response.status == 200 else response.json()["error"]["code"]
         codes.append(code)
     return codes
 
 
-REPEATED = {200, "duplicate_request", "outcome_unknown"}
-"""What a repeat may get; none of them says that the request was not run."""
+REPEAT_CODES = {200, "duplicate_request", "outcome_unknown"}
+"""Codes that a repeated request may get. None says that the request was not run."""
 
 
 @pytest.mark.processes
 def test_non_idempotent_requests_change_nodes_and_run_once(tmp_path):
-    """A node is reclaimed with court confirmations queued, claimed and running.
+    """A node is reclaimed with non-idempotent requests queued, claimed and running.
 
-    One that two nodes sent would book a court twice. Each runs at most once, and a
-    caller who is told that its request was not run can trust that. A repeat may learn
-    that the outcome is unknown where the reclaimed node was gone before it could tell
-    its successor; that happens to few.
+    If two nodes dispatched one of them, it would run twice. Each runs at most once, and
+    one reported as not run has not run. A repeat may get an unknown outcome where the
+    reclaimed node ended before it told its successor; that may happen to four of 24.
     """
-    with started(tmp_path) as (cluster, _):
+    with running_installation(tmp_path) as (cluster, _):
         first, *others = cluster.nodes
-        plain, callers, outcomes = start_confirmations(cluster)
+        plain, callers, outcomes = start_non_idempotent_callers(cluster)
         reclaim(cluster, instance=first.node_id, seconds=2.0)
         time.sleep(2.0)
         first.kill()
         for caller in callers:
             caller.join()
-        again = repeat_confirmations(others[0])
-        assert set(again) <= REPEATED
-        assert again.count("outcome_unknown") <= 4, again
+        repeated = repeat_requests(others[0])
+        assert set(repeated) <= REPEAT_CODES
+        assert repeated.count("outcome_unknown") <= 4, repeated
         runs = plain.stats()["executions"]
         assert max(runs.values()) == 1, runs
         ended = [codes[-1] for codes in outcomes.values()]
         assert ended.count(200) + ended.count("outcome_unknown") == 24, outcomes
-        booked = sum(runs.values()) - 1  # the call that warmed up
+        booked = sum(runs.values()) - 1  # without the warm-up call
         assert ended.count(200) <= booked <= 24
         assert ended.count(200) >= 20, outcomes
 
 
 @pytest.mark.processes
 @pytest.mark.parametrize("frozen_after_s", [0.1, 0.4])
-def test_a_holder_that_freezes_while_it_hands_confirmations_over(
+def test_a_node_that_freezes_during_a_handover_of_non_idempotent_requests(
     tmp_path, frozen_after_s
 ):
-    """A reclaimed node has told its successor of its confirmations, freezes before it
-    has told how they ended, and is gone.
+    """A reclaimed node hands non-idempotent requests over, freezes before it reports
+    their outcomes, and is killed.
 
-    The successor can't know which of them a server ran. Whoever asks there again is
-    told just that: a caller told "not run" would book the court a second time.
+    The successor can't know which of them a server ran. It must report the outcome as
+    unknown: a caller that is told "not run" would run the request a second time.
     """
-    with started(tmp_path) as (cluster, _):
+    with running_installation(tmp_path) as (cluster, _):
         first, *others = cluster.nodes
-        plain, callers, outcomes = start_confirmations(cluster)
+        plain, callers, outcomes = start_non_idempotent_callers(cluster)
         reclaim(cluster, instance=first.node_id, seconds=2.0)
         time.sleep(frozen_after_s)
         first.signal(signal.SIGSTOP)
@@ -255,9 +255,9 @@
         first.kill()
         for caller in callers:
             caller.join()
-        again = repeat_confirmations(others[0])
-        assert set(again) <= REPEATED
+        repeated = repeat_requests(others[0])
+        assert set(repeated) <= REPEAT_CODES
         runs = plain.stats()["executions"]
         assert max(runs.values()) == 1, runs
-        told = [codes[-1] for codes in outcomes.values()]
-        assert set(told) <= REPEATED
+        final_codes = [codes[-1] for codes in outcomes.values()]
+        assert set(final_codes) <= REPEAT_CODES
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,17 +1,17 @@
-"""A backend server that leaves gets no new work after a few seconds."""
+"""A backend server under notice gets no new requests after a few seconds."""
 
 import threading
 import time
 
 import builders
 import pytest
-from reclaims import metric, reclaim, started
+from reclaims import metric, reclaim, running_installation
 
 NO_NEW_WORK_AFTER_S = 3.0
 
 
 def call_steadily(node, running):
-    """Send short requests to one node, one after the other."""
+    """Send short requests to one node, one after the other, until cleared."""
     body = {"model": "chat", "max_tokens": 1}
     number = 0
     while running.is_set():
@@ -26,12 +26,15 @@
 
 @pytest.mark.processes
 def test_nodes_that_hear_only_from_peers_stop_sending_to_a_leaving_server(tmp_path):
-    """One node of three sees the cloud's notice; the live list is 30 s behind.
+    """One node of three receives the cloud's notice; the instance list lags by 30 s.
 
-    The others would send to the server until the list shows it, or it is killed with
-    their requests on it. They hear of the notice in the heartbeats.
+    The other nodes would send to the server until the list shows its state, or until it
+    is killed with their requests. They learn of the notice from heartbeats.
     """
-    with started(tmp_path, informed=1, list_lag_s=30) as (cluster, servers):
+    with running_installation(tmp_path, nodes_with_cloud=1, list_lag_s=30) as (
+        cluster,
+        servers,
+    ):
         for node in cluster.nodes:
             builders.wait_until(
                 lambda node=node: metric(node, "endive_members_live") == 3, "members"
--- a/tests/test_moving.py
+++ b/tests/test_moving.py
@@ -1,41 +1,41 @@
-"""Reclaim of backend servers: streams move, and the answer stays the same."""
+"""Reclaim of backend servers: streams move, and the responses stay the same."""
 
 import time
 
 import builders
 import pytest
 from reclaims import (
-    assert_all_whole,
+    assert_all_complete,
+    callers_result,
     metric,
     reclaim,
-    result_of,
-    start_fleet,
-    started,
+    running_installation,
+    start_callers,
     wait_accepted,
 )
 
 SLOW = {"decode_tokens_per_s": 20, "prefill_tokens_per_s": 2000}
 PADDING = 400
-"""Words that make prompts long enough to be dear to compute again."""
+"""Words of padding, so many that recomputing a prompt is expensive."""
 
 
 def total(servers, name):
-    """Return the sum of one count over the servers that still run."""
+    """Return the sum of one statistic over the servers that are still running."""
     running = [s for s in servers if s.process.poll() is None]
     return sum(server.stats()[name] for server in running)
 
 
 def recomputed_after_reclaim(folder, seconds):
-    """Reclaim one of two servers in mid-stream; return the tokens computed again."""
-    with started(folder, nodes=2, engines=2, **SLOW) as (cluster, servers):
-        fleet = start_fleet(cluster, 16, 160, padding=PADDING)
+    """Reclaim one of two servers; return recomputed tokens and exported streams."""
+    with running_installation(folder, nodes=2, engines=2, **SLOW) as (cluster, servers):
+        fleet = start_callers(cluster, 16, 160, padding=PADDING)
         wait_accepted(cluster.nodes, 16)
         time.sleep(2.0)
         if seconds:
             reclaim(cluster, instance=servers[0].name, seconds=seconds)
             time.sleep(seconds)
         servers[0].kill()
-        assert_all_whole(result_of(fleet), 16)
+        assert_all_complete(callers_result(fleet), 16)
         exported = sum(metric(n, "endive_streams_exported") for n in cluster.nodes)
         recomputed = total(servers, "recomputed_tokens")
         print(f"notice {seconds} s: {recomputed} recomputed, {exported} exported")
@@ -44,11 +44,11 @@
 
 @pytest.mark.processes
 def test_streams_leave_a_server_under_notice_with_their_kv_cache(tmp_path):
-    """A server gets notice with long streams on it and is killed three seconds later.
+    """A server with long streams receives a notice and is killed three seconds later.
 
-    Streams that stay break off and are computed again from the prompt on. With KV
-    export and import they go on where they were, and the caller's answer equals the
-    unmoved one token by token.
+    Streams that stay until then are recomputed from the prompt on. With export and
+    import of the KV cache they continue where they were, and each response equals that
+    of an unmoved stream token by token.
     """
     (tmp_path / "killed").mkdir()
     (tmp_path / "moved").mkdir()
@@ -60,33 +60,36 @@
 
 @pytest.mark.processes
 def test_a_notice_too_short_for_exports_loses_no_token(tmp_path):
-    """The notice is shorter than any export, so streams resume by their tokens so far.
+    """The notice is shorter than any export, so streams resume from prompt and tokens.
 
-    The next server computes prompt and tokens again, and the answer stays the same.
+    The next server recomputes both, and the responses stay the same.
     """
-    with started(tmp_path, nodes=2, engines=2, **SLOW) as (cluster, servers):
-        fleet = start_fleet(cluster, 16, 160, padding=PADDING)
+    with running_installation(tmp_path, nodes=2, engines=2, **SLOW) as (
+        cluster,
+        servers,
+    ):
+        fleet = start_callers(cluster, 16, 160, padding=PADDING)
         wait_accepted(cluster.nodes, 16)
         time.sleep(2.0)
         reclaim(cluster, instance=servers[0].name, seconds=0.2)
         time.sleep(0.3)
         servers[0].kill()
-        assert_all_whole(result_of(fleet), 16)
+        assert_all_complete(callers_result(fleet), 16)
         assert total(servers[1:], "recomputed_tokens") > 0
 
 
 @pytest.mark.processes
 def test_streams_do_not_move_into_the_zone_that_goes_next(tmp_path):
-    """Two zones have notice, one second apart; a server of each is left with streams.
+    """The servers of two zones receive notices one second apart.
 
-    A stream that moved from the first into the second would move twice. After the
-    second notice all of them run in the third zone.
+    A stream that moved from the first zone into the second would move twice. After the
+    second notice all streams run in the third zone.
     """
-    with started(tmp_path, nodes=1, engines=3, max_batch=64, **SLOW) as (
+    with running_installation(tmp_path, nodes=1, engines=3, max_batch=64, **SLOW) as (
         cluster,
         servers,
     ):
-        fleet = start_fleet(cluster, 18, 150)
+        fleet = start_callers(cluster, 18, 150)
         wait_accepted(cluster.nodes, 18)
         time.sleep(1.0)
         node_zone = cluster.nodes[0].zone
@@ -101,4 +104,4 @@
             server.kill()
         assert node_zone == "brest"
         assert [load["running"] for load in loads] == [18, 0, 0]
-        assert_all_whole(result_of(fleet), 18)
+        assert_all_complete(callers_result(fleet), 18)
--- a/tests/test_not_run.py
+++ b/tests/test_not_run.py
@@ -1,4 +1,4 @@
-"""Every answer that says "not run", held against what the backend servers saw."""
+"""Compares each "not run" response with the executions on the backend servers."""
 
 import signal
 import time
@@ -6,7 +6,7 @@
 import builders
 import pytest
 from endive_core.exceptions import ERROR_RESPONSES, ErrorKind, Executed
-from test_claims import PATH, Background, Booking, code
+from test_claims import PATH, BackgroundCall, BookingCluster, code
 
 pytestmark = pytest.mark.processes
 
@@ -16,11 +16,11 @@
     ErrorKind.VERSION_CONFLICT,
     ErrorKind.WATCH_TOO_OLD,
 }
-"""Kinds of the operators' API, from which no request reaches a backend server."""
+"""Kinds of the administration API, which sends no requests to backend servers."""
 
-NOT_CAUSED = {ErrorKind.BACKEND_REJECTED}
-"""The engine stand-in rejects no request that the node's own checks let through;
-packages/endive_node/tests/test_serving.py holds this kind with a fake engine."""
+NOT_TRIGGERED = {ErrorKind.BACKEND_REJECTED}
+"""The engine stand-in rejects no request that the node's own validation accepts;
+packages/endive_node/tests/test_serving.py tests this kind with a fake engine."""
 
 COMPLETION = "/v1/completions"
 BODY = {"model": "chat", "prompt": "x", "max_tokens": 2}
@@ -78,7 +78,7 @@
 
 def by_stopping(booking):
     node = booking.nodes[1]
-    running = Background(node.post, COMPLETION, BODY | {"max_tokens": 400})
+    running = BackgroundCall(node.post, COMPLETION, BODY | {"max_tokens": 400})
     time.sleep(0.5)
     node.signal(signal.SIGTERM)
     builders.wait_until(
@@ -91,32 +91,32 @@
     booking.before = booking.runs_now()
 
 
-def test_no_server_ran_what_was_told_as_not_run(cluster):
-    """A caller that reads "not run" sends its booking again. For each error kind that
-    says so, no server may have seen the request."""
-    booking = Booking(cluster, nodes=2)
+def test_no_server_ran_a_request_reported_as_not_run(cluster):
+    """A caller that is told "not run" sends its request again. For each error kind that
+    says so, no server may have run the request."""
+    booking = BookingCluster(cluster, nodes=2)
     assert code(booking.book(booking.nodes[0], "reused")) == "ok"
     seen = set()
     for cause in (by_body, by_limits, by_log, by_stopping):
         booking.before = booking.runs_now()
-        for answer in cause(booking):
-            error = answer.json()["error"]
+        for response in cause(booking):
+            error = response.json()["error"]
             assert error["executed"] == "no", error
             assert booking.runs == 0, error
             seen.add(ErrorKind(error["code"]))
     reused = booking.quote(booking.nodes[0], "reused").json()["error"]
     assert (reused["executed"], booking.runs) == ("no", 0)
     seen.add(ErrorKind(reused["code"]))
-    says_no = {
-        k for k, answer in ERROR_RESPONSES.items() if answer.executed is Executed.NO
+    not_run_kinds = {
+        k for k, response in ERROR_RESPONSES.items() if response.executed is Executed.NO
     }
-    elsewhere = {ErrorKind.OVERLOADED, ErrorKind.NOT_READY}
-    assert seen == says_no - OPERATORS_ONLY - NOT_CAUSED - elsewhere
+    tested_below = {ErrorKind.OVERLOADED, ErrorKind.NOT_READY}
+    assert seen == not_run_kinds - OPERATORS_ONLY - NOT_TRIGGERED - tested_below
 
 
-def test_overloaded_requests_are_seen_by_no_server(cluster):
-    """Far more requests come than fit. Each is answered at once or whole, and the
-    servers ran exactly those that were answered whole."""
+def test_requests_refused_as_overloaded_reach_no_server(cluster):
+    """Far more requests arrive than there is room for. Each is refused or gets a
+    complete response, and the servers ran exactly the latter."""
     cluster.with_log()
     engine = cluster.engine("slow", decode_tokens_per_s=20, max_batch=2)
     cluster.add_nodes(1)
@@ -129,11 +129,11 @@
     cluster.wait_in_force(node)
     before = set(engine.stats()["executions"])
     body = BODY | {"max_tokens": 20}
-    calls = [Background(node.post, COMPLETION, body) for _ in range(60)]
-    answers = [call.result() for call in calls]
+    calls = [BackgroundCall(node.post, COMPLETION, body) for _ in range(60)]
+    responses = [call.result() for call in calls]
     ran = set(engine.stats()["executions"]) - before
-    whole = {a.headers["X-Request-Id"] for a in answers if a.status == 200}
-    refused = [a.json()["error"] for a in answers if a.status != 200]
+    whole = {a.headers["X-Request-Id"] for a in responses if a.status == 200}
+    refused = [a.json()["error"] for a in responses if a.status != 200]
     assert refused, "nothing was refused"
     assert {(e["code"], e["executed"]) for e in refused} == {("overloaded", "no")}
     assert all("retry_after_s" in e for e in refused)
@@ -141,16 +141,16 @@
 
 
 def test_node_without_configuration_says_not_run(cluster):
-    """A new node starts while the log is down and has no peer to ask."""
+    """A node without peers starts while the log is down."""
     cluster.with_log()
     builders.wait_until(cluster.log.is_ready, "log")
     cluster.log.faults(outage_s=30.0)
     (node,) = cluster.add_nodes(1, ready=False)
     builders.wait_until(lambda: listens(node), "node")
-    answer = node.post(COMPLETION, BODY)
-    error = answer.json()["error"]
+    response = node.post(COMPLETION, BODY)
+    error = response.json()["error"]
     assert (error["code"], error["executed"]) == ("not_ready", "no")
-    assert int(answer.headers["Retry-After"]) >= 1
+    assert int(response.headers["Retry-After"]) >= 1
 
 
 def listens(node):
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -32,21 +32,21 @@
     return {"owner": owner, "spec": spec}
 
 
-def code(answer):
-    return answer.json()["error"]["code"]
+def code(response):
+    return response.json()["error"]["code"]
 
 
 def watch(node, start, count, token=builders.OPERATOR_TOKEN, **headers):
     """Return the data of the next `count` changes after version `start`."""
-    answer = builders.call(
+    response = builders.call(
         "GET",
         f"{node.operator_url}/v1/watch?from={start}",
         headers={"Authorization": f"Bearer {token}"} | headers,
         preload_content=False,
     )
-    assert answer.status == 200, answer.read()
+    assert response.status == 200, response.read()
     found, buffer = [], b""
-    for data in answer.stream(65536, decode_content=False):
+    for data in response.stream(65536, decode_content=False):
         *blocks, buffer = (buffer + data).split(b"\n\n")
         for block in blocks:
             lines = dict(line.split(": ", 1) for line in block.decode().split("\n"))
@@ -54,7 +54,7 @@
                 found.append(json.loads(lines["data"]))
         if len(found) >= count:
             break
-    answer.close()
+    response.close()
     return found[:count]
 
 
@@ -63,14 +63,14 @@
     node = installation.nodes[0]
     paths = (PRIORITY, f"{PRIORITY}/x", "/v1/status", "/v1/watch", "/metrics")
     for path in paths:
-        answer = node.operate("GET", path, token="wrong")
-        assert (answer.status, code(answer)) == (401, "unauthenticated")
+        response = node.operate("GET", path, token="wrong")
+        assert (response.status, code(response)) == (401, "unauthenticated")
 
 
 @pytest.mark.processes
 def test_conflict_names_the_winning_version(installation):
-    """Two operators read the same version and both change it. The second is told that
-    it lost, and to what, so that it can look before it tries again."""
+    """Two operators change the same version. The second gets a version conflict that
+    names the current version, so that it can read that one before it retries."""
     first, second = installation.nodes
     made = first.operate("PUT", f"{PRIORITY}/raced", priority(level=1)).json()
     seen = made["version"]
@@ -85,8 +85,8 @@
 
 @pytest.mark.processes
 def test_change_sent_again_with_its_id_is_applied_once(installation):
-    """An operator's connection breaks before the answer; the same command is sent
-    again, to another node, and must not undo what a colleague did in between."""
+    """An operator's connection breaks before the response. The same change, sent again
+    to another node, must not undo a later change by another operator."""
     first, second = installation.nodes
     path = f"{PRIORITY}/again?change_id=c-17"
     made = first.operate("PUT", path, priority(level=1)).json()
@@ -102,8 +102,8 @@
 @pytest.mark.processes
 def test_dry_run_checks_and_changes_nothing(installation):
     node = installation.nodes[0]
-    answer = node.operate("PUT", f"{PRIORITY}/dry?dry_run=true", priority(level=4))
-    assert answer.json()["after"]["spec"]["level"] == 4
+    response = node.operate("PUT", f"{PRIORITY}/dry?dry_run=true", priority(level=4))
+    assert response.json()["after"]["spec"]["level"] == 4
     assert node.operate("GET", f"{PRIORITY}/dry").status == 404
     bad = node.operate("PUT", f"{PRIORITY}/dry?dry_run=true", priority(level=4000))
     (field,) = bad.json()["error"]["fields"]
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.processes
-def test_status_tells_on_how_many_nodes_a_resource_is_in_force(installation):
+def test_status_shows_on_how_many_nodes_a_resource_is_in_force(installation):
     first, _ = installation.nodes
     body = builders.deployment("quotes", service="missing")
     first.operate("PUT", "/v1/resources/deployment/quotes", body)
@@ -163,16 +163,16 @@
 
 
 @pytest.mark.processes
-def test_explain_tells_of_a_refused_request_at_any_node(installation):
-    """A caller complains about a refusal; the operator has the request id, and no idea
-    which node it came to."""
+def test_explain_shows_a_refused_request_at_any_node(installation):
+    """An operator looks up a refused request by its id at a node other than the one
+    that refused it."""
     first, second = installation.nodes
     first.operate("PUT", "/v1/resources/organisation/kerloch", builders.organisation())
     builders.wait_until(
         lambda: first.post("/v1/completions", {}).status == 400, "the caller's key"
     )
-    answer = first.post("/v1/completions", {"model": "none", "prompt": "x"})
-    request_id = answer.json()["error"]["request_id"]
+    response = first.post("/v1/completions", {"model": "none", "prompt": "x"})
+    request_id = response.json()["error"]["request_id"]
     path = f"/v1/requests/{request_id}"
     shown = second.operate("GET", path).json()
     assert shown["node"] == "node-1"
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path over real sockets and separate processes."""
+"""The whole path of requests over real sockets and separate processes."""
 
 import json
 import subprocess
@@ -10,16 +10,16 @@
 
 @pytest.fixture(scope="module")
 def installation(tmp_path_factory):
-    """Log, two nodes in two zones, two engines and a plain service, declared."""
+    """Start a log, two nodes in two zones, two engines and a plain service."""
     folder = tmp_path_factory.mktemp("installation")
     cluster = builders.Cluster(folder)
     try:
-        yield declared(cluster, folder)
+        yield declare_resources(cluster, folder)
     finally:
         cluster.stop()
 
 
-def declared(cluster, folder):
+def declare_resources(cluster, folder):
     cluster.with_log()
     engines = [cluster.engine(f"engine-{i}", decode_tokens_per_s=2000) for i in (1, 2)]
     plain = cluster.plain("reservation-1")
@@ -49,7 +49,7 @@
 
 
 def resources_toml(engines, plain):
-    """The example file, its addresses replaced by those of running stand-ins."""
+    """Return the example file with the addresses of running stand-ins."""
     with open("examples/resources.toml") as example:
         text = example.read()
     text = text.replace("127.0.0.1:8091", engines[0].address)
@@ -71,9 +71,9 @@
     expected = "".join(builders.expected_tokens("Which court is free?", 12))
     body = {"model": "chat", "prompt": "Which court is free?", "max_tokens": 12}
     for node in installation.nodes:
-        answer = node.post("/v1/completions", body)
-        assert answer.status == 200
-        value = answer.json()
+        response = node.post("/v1/completions", body)
+        assert response.status == 200
+        value = response.json()
         assert value["choices"][0]["text"].encode() == expected.encode()
         assert value["choices"][0]["finish_reason"] == "length"
         assert value["usage"]["completion_tokens"] == 12
@@ -86,12 +86,12 @@
 
 @pytest.mark.processes
 def test_models_are_listed_for_those_with_a_key(installation):
-    """A caller's usual client library asks for the models before the first call."""
+    """Common client libraries list the models before their first request."""
     url = f"{installation.nodes[0].url}/v1/models"
     key = {"Authorization": f"Bearer {builders.CALLER_KEY}"}
-    answer = builders.call("GET", url, headers=key)
-    assert answer.status == 200
-    assert "chat" in [model["id"] for model in answer.json()["data"]]
+    response = builders.call("GET", url, headers=key)
+    assert response.status == 200
+    assert "chat" in [model["id"] for model in response.json()["data"]]
     assert builders.call("GET", url).status == 401
 
 
@@ -118,9 +118,9 @@
 
 @pytest.mark.processes
 def test_plain_service_through_the_same_node(installation):
-    answer = installation.nodes[1].post("/services/reservations/courts/3", {"at": 18})
-    assert answer.status == 200
-    value = answer.json()
+    response = installation.nodes[1].post("/services/reservations/courts/3", {"at": 18})
+    assert response.status == 200
+    value = response.json()
     assert (value["method"], value["path"]) == ("POST", "/courts/3")
     assert json.loads(value["body"]) == {"at": 18}
 
@@ -135,34 +135,34 @@
         ({"model": "chat", "prompt": "x" * 4_100_000}, 413, "body_too_large"),
     ],
 )
-def test_bad_calls_get_a_clear_answer_and_lose_nothing(
-    installation, body, status, code
-):
+def test_invalid_requests_get_a_specific_error(installation, body, status, code):
     node = installation.nodes[0]
-    answer = node.post("/v1/completions", body)
-    assert answer.status == status
-    error = answer.json()["error"]
+    response = node.post("/v1/completions", body)
+    assert response.status == status
+    error = response.json()["error"]
     assert (error["code"], error["executed"]) == (code, "no")
     installation.wait_in_force(node)
 
 
 @pytest.mark.processes
-def test_organisation_over_its_limit_is_told_when_to_come_back(installation):
-    """One organisation sends more than it may. It is told so at once and when to come
-    back, and others' calls go on as if nothing were."""
+def test_organisation_over_its_limit_gets_a_retry_after(installation):
+    """An organisation that exceeds its limit is refused at once with a retry-after, and
+    the requests of others are served as before."""
     node = installation.nodes[0]
     small = builders.organisation("small", key="small", tokens_per_s=20)
     node.operate("PUT", "/v1/resources/organisation/small", small)
     body = {"model": "chat", "prompt": "x", "max_tokens": 30}
-    answers = []
+    responses = []
 
     def limited():
-        answers.append(node.post("/v1/completions", body, Authorization="Bearer small"))
-        return answers[-1].status == 429
+        responses.append(
+            node.post("/v1/completions", body, Authorization="Bearer small")
+        )
+        return responses[-1].status == 429
 
     builders.wait_until(limited, "the limit")
-    error = answers[-1].json()["error"]
+    error = responses[-1].json()["error"]
     assert (error["code"], error["executed"]) == ("limit_exceeded", "no")
     assert error["request_id"]
-    assert int(answers[-1].headers["Retry-After"]) >= 1
+    assert int(responses[-1].headers["Retry-After"]) >= 1
     assert node.post("/v1/completions", body).status == 200
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -4,7 +4,7 @@
 
 import builders
 import pytest
-from reclaims import metric, started
+from reclaims import metric, running_installation
 
 
 def alive(servers):
@@ -13,13 +13,13 @@
 
 @pytest.mark.processes
 def test_a_request_that_crashes_servers_takes_down_two_at_most(tmp_path):
-    """One request crashes each server that runs it, and its caller sends it again.
+    """A request crashes each server that runs it, and its caller sends it again.
 
-    Each node that tries it anew would take down server after server, with all that
-    ran there. After the second crash every node refuses it at once, and others are
-    served.
+    Nodes that retried it would crash one server after the other, with all requests that
+    run there. After the second crash every node refuses it at once, and other requests
+    are served.
     """
-    with started(tmp_path, engines=5) as (cluster, servers):
+    with running_installation(tmp_path, engines=5) as (cluster, servers):
         for node in cluster.nodes:
             builders.wait_until(
                 lambda node=node: metric(node, "endive_members_live") == 3, "members"
@@ -27,12 +27,12 @@
         for server in servers:
             server.faults(crash_on="crash")
         body = {"model": "chat", "prompt": "please crash", "max_tokens": 5}
-        answers = []
+        responses = []
         for turn in range(9):
-            answers.append(cluster.nodes[turn % 3].post("/v1/completions", body))
+            responses.append(cluster.nodes[turn % 3].post("/v1/completions", body))
             time.sleep(0.05)
         assert len(alive(servers)) >= 3
-        codes = [answer.json()["error"]["code"] for answer in answers]
+        codes = [response.json()["error"]["code"] for response in responses]
         assert set(codes[1:]) == {"poison_request"}, codes
         started_at = time.monotonic()
         cluster.nodes[1].post("/v1/completions", body)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Runs of real nodes, replayed against the specification of claims."""
+"""Checks traces of real nodes against the specification of claims."""
 
 import re
 from dataclasses import replace
@@ -7,7 +7,7 @@
 import pytest
 from endive_core.claims import claim_shard
 from endive_core.records import Claim, claim_stream, decode
-from test_claims import Booking, all_at_once
+from test_claims import BookingCluster, run_concurrently
 
 from spec.claims import Append
 from spec.replay import Trace, conforms
@@ -17,17 +17,19 @@
 
 
 def ended_requests(nodes):
-    """Return each ended request's events, by id, from the nodes' own log lines."""
+    """Return the events of each ended request by id, from the nodes' log lines."""
     text = "".join(node.output.read_text() for node in nodes)
     return {rid: tuple(e.split(",")) for rid, e in ENDED.findall(text)}
 
 
 def trace_of(cluster, nodes, key):
-    """Return what log and nodes show of one key."""
+    """Return the trace of one key, from the log's records and the nodes' log lines."""
     full_key = f"kerloch/{key}"
     stream = claim_stream(claim_shard(full_key))
-    answer = builders.call("GET", f"{cluster.log.url}/streams/{stream}/records?from=0")
-    records = [decode(entry["body"]) for entry in answer.json()["records"]]
+    response = builders.call(
+        "GET", f"{cluster.log.url}/streams/{stream}/records?from=0"
+    )
+    records = [decode(entry["body"]) for entry in response.json()["records"]]
     records = [record for record in records if record.key == full_key]
     claims = {r.claim_id: r for r in records if isinstance(r, Claim)}
     requests = list(dict.fromkeys(claim.request_id for claim in claims.values()))
@@ -64,10 +66,11 @@
 
 
 def test_runs_of_real_nodes_are_paths_of_the_specification(cluster):
-    """Were node and specification to differ, the sweep would prove nothing about the
-    node. Keys go to three nodes at once while append answers are lost, a server
-    refuses before starting, and another loses its answer."""
-    booking = Booking(cluster)
+    """If nodes and specification differed, model checking the specification would prove
+    nothing about the nodes. Each key is sent to three nodes at once, in turn without
+    faults, with lost append responses, with requests that a server refuses before it
+    runs them, and with lost responses of a server."""
+    booking = BookingCluster(cluster)
     faults = {
         "plain": lambda: None,
         "lost-append": lambda: cluster.log.faults(lose_answers=2),
@@ -76,14 +79,15 @@
     }
     for key, order in faults.items():
         order()
-        all_at_once([(booking.book, node, key) for node in booking.nodes])
+        run_concurrently([(booking.book, node, key) for node in booking.nodes])
         trace = settled(cluster, booking.nodes, key)
         assert len(trace.events) == 3, trace
         assert conforms(trace), trace
 
 
 def test_replay_notices_a_run_that_the_specification_forbids():
-    """A node that lost its claim and sent the request all the same."""
+    """The replay rejects traces such as that of a node that lost its claim and sent the
+    request nevertheless."""
     won = ("enqueue", "claim", "won", "dispatch", "complete")
     lost = ("enqueue", "claim", "refuse")
     records = (Append("claim", 0, 1), Append("claim", 1, 1), Append("release", 1, 1))
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -22,16 +22,16 @@
 
 
 def test_good_file_is_checked_without_starting(tmp_path):
-    done = check(tmp_path, GOOD)
-    assert done.returncode == 0, done.stderr
+    result = check(tmp_path, GOOD)
+    assert result.returncode == 0, result.stderr
 
 
 def test_bad_value_ends_with_code_2_and_one_line(tmp_path):
     bad = GOOD.replace('zone = "brest"', 'zone = "brest"\ncaller_port = 70000')
     for command in ("check", "run"):
-        done = check(tmp_path, bad, command=command)
-        assert done.returncode == 2
-        (line,) = done.stderr.strip().splitlines()
+        result = check(tmp_path, bad, command=command)
+        assert result.returncode == 2
+        (line,) = result.stderr.strip().splitlines()
         assert "node.caller_port" in line
         assert "70000" in line
         assert "65535" in line
