--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -187,13 +187,13 @@
             newest = self.fleet.version
             version = self.random.choice((newest, newest, max(1, newest - 1)))
             due = self._is_due(node)
-            asked_at, process = self.fleet.clock(), node.starts
+            probed_at, process = self.fleet.clock(), node.starts
             outcome = self.call(probe, f"/version-{version}/x", "", node)
             if node.starts != process:
                 continue
             name = f"{node.name}#{process}"
             if outcome == 200:
-                self.fleet.checker.version_served(name, asked_at, version)
+                self.fleet.checker.version_served(name, probed_at, version)
             if due and outcome == (404 if version == newest else 200):
                 self.fleet.checker.version_stale(name, version, newest)
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -46,16 +46,16 @@
     kinds : tuple of str
         The kinds to draw from; all if empty.
     """
-    found, at = [], random.expovariate(1 / MEAN_GAP_S)
+    faults, at = [], random.expovariate(1 / MEAN_GAP_S)
     while at < duration_s:
         kind = random.choice(sorted(kinds or FAULTS))
         series = random.random() < SERIES_SHARE and random.randint(2, MAX_IN_SERIES)
         for _ in range(series or 1):
             target, for_s = random.randrange(1000), random.uniform(0.2, 3.0)
-            found.append(Fault(at, kind, target, for_s, random.random()))
+            faults.append(Fault(at, kind, target, for_s, random.random()))
             at += random.uniform(0.05, 0.6) if series else 0.0
         at += random.expovariate(1 / MEAN_GAP_S)
-    return [fault for fault in found if fault.at < duration_s]
+    return [fault for fault in faults if fault.at < duration_s]
 
 
 def node_of(fleet, fault):
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -176,14 +176,14 @@
     def is_connected(self, since):
         """Return whether this node could read the store from `since` until now."""
         store = self.fleet.store
-        calm_s = time.monotonic() - store.fault_ended_at
+        healthy_s = time.monotonic() - store.fault_ended_at
         return (
             self.was_healthy(since)
             and not self.busy
             and self.started_at < since
             and self.store_link.is_healthy
             and self.store_link.healed_at < since
-            and self.fleet.clock() - calm_s < since
+            and self.fleet.clock() - healthy_s < since
         )
 
     def close(self):
--- a/tests/soak/invariants.py
+++ b/tests/soak/invariants.py
@@ -127,10 +127,10 @@
             "deadline", f"{request.kind} {request_id} at {request.node}"
         )
 
-    def version_served(self, node, asked_at, version):
-        """Record that `node` served configuration `version` at `asked_at` or later."""
+    def version_served(self, node, probed_at, version):
+        """Record that `node` served configuration `version` at `probed_at` or later."""
         newest, since = self.versions.get(node, (0, 0.0))
-        if version < newest and asked_at > since:
+        if version < newest and probed_at > since:
             self.record_violation(
                 "configuration", f"{node} served {version} after {newest}"
             )
--- a/tests/soak/launch.py
+++ b/tests/soak/launch.py
@@ -40,8 +40,8 @@
     real_status = statuses.status_of
 
     def status(error, may_have_run):
-        found = real_status(error, may_have_run)
-        return 503 if found >= 500 else found
+        status_code = real_status(error, may_have_run)
+        return 503 if status_code >= 500 else status_code
 
     statuses.status_of = status
 
--- a/tests/soak/standins.py
+++ b/tests/soak/standins.py
@@ -63,9 +63,9 @@
             body = environ["wsgi.input"].read()
         except OSError:
             return []  # the connection ended before the request was complete
-        return self.answer(environ, body, start)
+        return self.handle(environ, body, start)
 
-    def answer(self, environ, body, start):
+    def handle(self, environ, body, start):
         raise NotImplementedError
 
     def stop(self):
@@ -117,7 +117,7 @@
         self.appended.set()
         self.appended.clear()
 
-    def answer(self, environ, body, start):
+    def handle(self, environ, body, start):
         if self.silent:
             Event().wait()
         if self.down:
@@ -126,14 +126,14 @@
         records = self.topics.setdefault(query.get("topic", ""), [])
         call = environ["PATH_INFO"]
         if call == "/log-append":
-            return self._answer_append(environ, start, query, records, body)
+            return self._handle_append(environ, start, query, records, body)
         if call == "/log-read":
-            return self._answer_read(start, query, records)
+            return self._handle_read(start, query, records)
         if call == "/log-newest":
             return respond(start, 200, _newest(records))
         return respond(start, 404)
 
-    def _answer_append(self, environ, start, query, records, body):
+    def _handle_append(self, environ, start, query, records, body):
         if "at" in query and int(query["at"]) != len(records):
             return respond(start, 412, {"end": len(records)})
         offset, found = len(records), []
@@ -146,7 +146,7 @@
             reset(environ["soak.socket"])
         return respond(start, 200, {"offset": offset, "end": len(records)})
 
-    def _answer_read(self, start, query, records):
+    def _handle_read(self, start, query, records):
         first = int(query["from"])
         with gevent.Timeout(int(query.get("wait_ms", 0)) / 1000 or 0.001, False):
             while len(records) <= first and not self.down:
@@ -183,7 +183,7 @@
         self.down = self.losing_responses = False
         super().__init__(host, port)
 
-    def answer(self, environ, body, start):
+    def handle(self, environ, body, start):
         if self.down:
             return respond(start, 503)
         self.checker.duty_called(
@@ -248,7 +248,7 @@
             entry |= {"spot": True, "leaves_ms": leaves_s * 1000}
         return json.dumps(entry).encode()
 
-    def answer(self, environ, body, start):
+    def handle(self, environ, body, start):
         request_id = environ.get("HTTP_REQUEST_ID", "")
         headers = {"Request-Id": request_id, "Server-Load": f"{self.running},0,{SLOTS}"}
         if environ.get("HTTP_EXPECT_INSTANCE", self.id) != self.id:
@@ -261,7 +261,7 @@
         )
         self.running += 1
         try:
-            if self._errs_on(request_id):
+            if self._fails(request_id):
                 return respond(start, 500, b"no", headers)
             if environ["PATH_INFO"].startswith("/stream"):
                 return self._stream(request_id, environ, start, headers)
@@ -270,7 +270,7 @@
         finally:
             self.running -= 1
 
-    def _errs_on(self, request_id):
+    def _fails(self, request_id):
         # CRC-32, since the built-in hash of a string differs between processes.
         drawn = zlib.crc32(f"{request_id}/{self.id}".encode()) % 100
         return drawn < self.error_share * 100
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -45,17 +45,17 @@
         preload_content=False,
     )
     assert response.status == 200, response.read()
-    found, buffer = [], b""
+    changes, buffer = [], b""
     for data in response.stream(65536, decode_content=False):
         *blocks, buffer = (buffer + data).split(b"\n\n")
         for block in blocks:
             lines = dict(line.split(": ", 1) for line in block.decode().split("\n"))
             if lines["event"] == "change":
-                found.append(json.loads(lines["data"]))
-        if len(found) >= count:
+                changes.append(json.loads(lines["data"]))
+        if len(changes) >= count:
             break
     response.close()
-    return found[:count]
+    return changes[:count]
 
 
 @pytest.mark.processes
@@ -72,8 +72,8 @@
     """Two operators change the same version. The second gets a version conflict that
     names the current version, so that it can read that one before it retries."""
     first, second = installation.nodes
-    made = first.operate("PUT", f"{PRIORITY}/raced", priority(level=1)).json()
-    seen = made["version"]
+    created = first.operate("PUT", f"{PRIORITY}/raced", priority(level=1)).json()
+    seen = created["version"]
     path = f"{PRIORITY}/raced?expected_version={seen}"
     won = first.operate("PUT", path, priority(level=2))
     lost = second.operate("PUT", path, priority(level=3))
@@ -89,10 +89,10 @@
     to another node, must not undo a later change by another operator."""
     first, second = installation.nodes
     path = f"{PRIORITY}/again?change_id=c-17"
-    made = first.operate("PUT", path, priority(level=1)).json()
+    created = first.operate("PUT", path, priority(level=1)).json()
     other = first.operate("PUT", f"{PRIORITY}/again", priority(level=5)).json()
     repeated = second.operate("PUT", path, priority(level=1)).json()
-    assert repeated["version"] == made["version"]
+    assert repeated["version"] == created["version"]
     assert (
         first.operate("GET", f"{PRIORITY}/again").json()["version"]
         == (other["version"])
--- a/tests/test_store_silence.py
+++ b/tests/test_store_silence.py
@@ -19,14 +19,17 @@
 
 @pytest.fixture
 def fleet(request, tmp_path):
-    made = Fleet(tmp_path, SLOT, nodes=request.param)
-    loops = [gevent.spawn(made.send_heartbeats), gevent.spawn(made.lag.run)]
+    started_fleet = Fleet(tmp_path, SLOT, nodes=request.param)
+    loops = [
+        gevent.spawn(started_fleet.send_heartbeats),
+        gevent.spawn(started_fleet.lag.run),
+    ]
     try:
-        await_version(made, made.version, START_S)
-        yield made
+        await_version(started_fleet, started_fleet.version, START_S)
+        yield started_fleet
     finally:
         gevent.killall(loops)
-        made.close()
+        started_fleet.close()
 
 
 def behind(fleet, version):
