--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""Specification of the core protocol, checked with ``python -m spec``."""
+"""Models of the core protocol, checked exhaustively by ``python -m spec``."""
--- a/spec/__main__.py
+++ b/spec/__main__.py
@@ -1,4 +1,8 @@
-"""Run every model check and print the state counts; exit code 1 if one fails."""
+"""Run every model check and print the state counts.
+
+The exit code is 1 if a property is refuted, a state space is not fully explored, or a
+mutant is not refuted.
+"""
 
 import sys
 import time
@@ -11,7 +15,7 @@
 
 
 def main() -> int:
-    """Sweep the specifications and their mutants."""
+    """Check the specifications and their mutants; return the exit code."""
     started = time.monotonic()
     with ProcessPoolExecutor(WORKERS) as pool:
         safety = pool.map(sweep, SAFETY)
@@ -32,7 +36,7 @@
 
 
 def print_traces(failed: list[Sweep]) -> None:
-    """Print the shortest way into each state that must not be."""
+    """Print the shortest counterexample of each refuted property."""
     for result in failed:
         for name, trace in result.traces.items():
             print(f"{result.name} breaks {name!r}:")
--- a/spec/checker.py
+++ b/spec/checker.py
@@ -1,4 +1,4 @@
-"""Sweeps of a specification's whole state space with `minicheck`."""
+"""Exhaustive exploration of a specification's state space with `minicheck`."""
 
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass
@@ -11,54 +11,58 @@
 
 
 class Model(Interface):
-    """One specification: states, steps and what must hold in each state.
+    """One specification: its states, transitions and invariants.
 
-    A mutant is a subclass of a model with one method changed for the worse.
+    A mutant is a subclass of a model with a fault in one method.
     """
 
     name: str
     fields: tuple[str, ...]
 
     def initial(self) -> tuple[Hashable, ...]:
-        """Return the first state."""
+        """Return the initial state."""
         ...
 
     def steps(self, state: tuple) -> Iterable[tuple[str, tuple]]:
-        """Return every step that can follow, as (label, next state)."""
+        """Return every transition from `state`, as (label, next state)."""
         ...
 
     def invariants(self) -> dict[str, Callable[[dict[str, Any]], bool]]:
-        """Return what must hold in every state, by name."""
+        """Return the predicates that must hold in every state, by name."""
         ...
 
     def goal(self, state: dict[str, Any]) -> bool:
-        """Return whether everything has ended as it should."""
+        """Return whether `state` is a desired end state, for the liveness check."""
         ...
 
 
 @dataclass(frozen=True)
 class Sweep:
-    """The result of one sweep.
+    """The result of exploring one model.
 
     Attributes
     ----------
+    states : int
+        Number of reachable states visited.
+    exhaustive : bool
+        Whether the whole state space was explored.
     traces : dict
-        The shortest sequence of labels that breaks each refuted invariant.
+        The shortest sequence of step labels that violates each refuted invariant.
     """
 
     name: str
     states: int
-    whole: bool
+    exhaustive: bool
     invariants: tuple[str, ...]
     traces: dict[str, list[str]]
 
     @property
     def holds(self) -> bool:
-        """Whether every state was visited and no invariant broke."""
-        return self.whole and not self.traces
+        """Whether every state was visited and no invariant was violated."""
+        return self.exhaustive and not self.traces
 
     def describe(self) -> str:
-        """Return one line for a person."""
+        """Return a summary on one line."""
         verdict = "holds" if self.holds else "REFUTED" if self.traces else "NOT SWEPT"
         names = ", ".join(self.traces or self.invariants)
         return f"{verdict:9} {self.name:34} {self.states:>9,} states: {names}"
@@ -71,7 +75,7 @@
     return Sweep(
         name=model.name,
         states=result["reachable_states"],
-        whole=result["exhaustive"],
+        exhaustive=result["exhaustive"],
         invariants=tuple(properties),
         traces={
             name: [step["label"] for step in found["counterexample"][1:]]
@@ -88,7 +92,7 @@
     return Sweep(
         name=f"{model.name}, goal",
         states=result.get("reachable_states", 0),
-        whole=result["holds"] is not None,
+        exhaustive=result["holds"] is not None,
         invariants=("goal stays reachable",),
         traces={"goal": [step["label"] for step in trace[1:]]} if trace else {},
     )
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -1,13 +1,14 @@
-"""Specification of claims: one idempotency key, sent several times to several nodes.
+"""Specification of claims: one idempotency key, submitted repeatedly to several nodes.
 
-A step is any one thing that can happen next. What a step leaves out may stay out for
-ever, so delays, pauses, lost appends and a log outage need no steps of their own: a
-node that is paused takes none of its steps while the others take theirs; a record that
-stays in flight is lost or late; while nothing lands, the log is down. What does need a
-step: a crash, an append that takes effect twice because its answer was lost, a
-connection lost after the request was sent.
+A step is any one event that can happen next. An enabled step need never be taken, so
+delays, pauses, lost appends and a log outage need no steps of their own: a paused node
+takes none of its steps while the others take theirs; a record that stays in flight is
+lost or late; while no append takes effect, the log is down. Steps of their own model a
+crash, an append that takes effect twice because its response was lost, and a connection
+lost after the request was sent.
 
-The requests' and the claims' charts and the claim table are those of the running code.
+The state charts of requests and claims and the claim table are those of the production
+code.
 """
 
 from functools import lru_cache
@@ -26,65 +27,77 @@
 from endive_core.records import Claim, Release
 
 KEY = "key"
-NOT_HERE = "not_here"
+NOT_RECEIVED = "not_here"
 CRASHED = "crashed"
 NO_CLAIM = "none"
-ENDED = frozenset({CRASHED, State.FINISHED, State.FAILED, State.REFUSED})
+TERMINAL_STATES = frozenset({CRASHED, State.FINISHED, State.FAILED, State.REFUSED})
 
 
 class Server(NamedTuple):
-    """The request at the backend server: where it is, and how often it ran."""
+    """The request at the backend server.
+
+    Attributes
+    ----------
+    at : str
+        Where the request is: arriving, refused, running, done, or nowhere if empty.
+    runs : int
+        How often it ran.
+    ran_under : int
+        The number of the claim under which it ran last.
+    """
 
     at: str = ""
     runs: int = 0
     ran_under: int = 0
 
 
-class Send(NamedTuple):
-    """One sending of the key by the caller, and the node that took it.
+class Submission(NamedTuple):
+    """One submission of the key by the caller, and the state of the node that took it.
 
-    `tries` counts the claims made; the present one's id is ``(send, tries)``. `told`
-    is the ``executed`` field of what the caller was answered.
+    `tries` counts the claims made; the id of the current one is
+    ``(submission, tries)``. `executed` is that field of the response to the caller,
+    empty until there is one.
     """
 
-    life: str = NOT_HERE
+    lifecycle: str = NOT_RECEIVED
     flags: Flags = Flags(non_idempotent=True)
     claim: str = NO_CLAIM
     tries: int = 0
-    sent: int = 0
-    told: str = ""
+    dispatch_count: int = 0
+    executed: str = ""
     server: Server = Server()
 
 
 class Append(NamedTuple):
-    """A record on its way to the log, or in it."""
+    """A claim or release record, in flight to the log or in it."""
 
     kind: str
-    send: int
+    submission: int
     tries: int
 
     def record(self) -> Claim | Release:
-        """Return the record as the running code has it."""
-        name = f"{self.send}.{self.tries}"
+        """Return the record in the production code's type."""
+        name = f"{self.submission}.{self.tries}"
         if self.kind == "release":
             return Release(name, KEY)
-        return Claim(name, KEY, f"node-{self.send}", name)
+        return Claim(name, KEY, f"node-{self.submission}", name)
 
 
 class ClaimsModel:
-    """Several sendings of one key, each to its own node.
+    """Several submissions of one key, each to its own node.
 
     Parameters
     ----------
     tries : tuple of int
-        For each sending of the key, how many claims its node may make one by one.
+        For each submission of the key, how many claims its node may make in turn.
     copies : int
-        How often one claim may be appended; 2 for an append whose answer was lost.
+        How often one claim may be appended; 2 models an append whose response is lost.
     dispatches : int
-        How often one sending may reach servers that refuse before starting.
+        How often the node may dispatch one submission; more than 1 models servers that
+        refuse before starting.
     """
 
-    fields = ("log", "flight", "sends")
+    fields = ("log", "in_flight", "submissions")
     table_class = ClaimTable
 
     def __init__(
@@ -95,134 +108,160 @@
         self.name = f"{type(self).__name__} {tries} {copies} {dispatches}"
 
     def initial(self) -> tuple:
-        """Return the state before the caller sends anything."""
-        return ((), (), (Send(),) * len(self.tries))
+        """Return the state before the caller submits anything."""
+        return ((), (), (Submission(),) * len(self.tries))
 
     def steps(self, state: tuple) -> list[tuple[str, tuple]]:
-        """Return every step that can follow `state`."""
-        log, flight, sends = state
+        """Return every transition from `state`, as (label, next state)."""
+        log, in_flight, submissions = state
         found = []
-        for record in sorted(set(flight)):
-            rest = list(flight)
+        for record in sorted(set(in_flight)):
+            rest = list(in_flight)
             rest.remove(record)
-            label = f"log takes {record.kind} {record.send}.{record.tries}"
-            found.append((label, (self.land(log, record), tuple(rest), sends)))
-        for i, send in enumerate(sends):
-            for label, after, appended in self.node_steps(state, i, send):
-                changed = (*sends[:i], settled(after), *sends[i + 1 :])
-                waiting = tuple(sorted((*flight, *appended)))
+            label = f"log takes {record.kind} {record.submission}.{record.tries}"
+            found.append(
+                (label, (self.extend_log(log, record), tuple(rest), submissions))
+            )
+        for i, submission in enumerate(submissions):
+            for label, after, appended in self.node_steps(state, i, submission):
+                changed = (*submissions[:i], canonical(after), *submissions[i + 1 :])
+                waiting = tuple(sorted((*in_flight, *appended)))
                 found.append((f"{label} {i}", (log, waiting, changed)))
-            for label, server in self.server_steps(send):
-                after = send._replace(server=server)
-                changed = (*sends[:i], settled(after), *sends[i + 1 :])
-                found.append((f"{label} {i}", (log, flight, changed)))
+            for label, server in self.server_steps(submission):
+                after = submission._replace(server=server)
+                changed = (*submissions[:i], canonical(after), *submissions[i + 1 :])
+                found.append((f"{label} {i}", (log, in_flight, changed)))
         return found
 
-    def land(self, log: tuple, record: Append) -> tuple:
-        """Return the log with `record`, or an equal one that was met before.
+    def extend_log(self, log: tuple, record: Append) -> tuple:
+        """Return the log with `record` appended, or an equivalent log seen before.
 
-        Two logs are equal if they hold the same records and the table folds them to
-        the same state; without this the sweep would visit each of their orders.
+        Two logs are equivalent if they hold the same records and the table folds them
+        to the same state. Without this reduction the exploration would visit every
+        order of the records.
         """
         longer = (*log, record)
-        same = (frozenset(longer), content(fold(longer, self.table_class)))
+        same = (frozenset(longer), table_state(fold(longer, self.table_class)))
         return self.logs.setdefault(same, longer)
 
-    def server_steps(self, send: Send):
-        """Yield what a backend server or the way to it does with a request."""
-        at, runs, _ = send.server
+    def server_steps(self, submission: Submission):
+        """Yield the steps of the backend server and of the connection to it."""
+        at, runs, _ = submission.server
         if at == "arriving":
-            yield "server runs", Server("running", runs + 1, send.tries)
-            yield "server refuses", send.server._replace(at="refused")
+            yield "server runs", Server("running", runs + 1, submission.tries)
+            yield "server refuses", submission.server._replace(at="refused")
         elif at == "running":
-            yield "server completes", send.server._replace(at="done")
+            yield "server completes", submission.server._replace(at="done")
 
-    def node_steps(self, state: tuple, i: int, send: Send):
-        """Yield what a node does with its request: (label, after, appended)."""
-        if send.life == NOT_HERE:
-            yield "arrives", send._replace(life=State.ACCEPTED), ()
+    def node_steps(self, state: tuple, i: int, submission: Submission):
+        """Yield the steps of a node, as (label, submission after, records appended)."""
+        if submission.lifecycle == NOT_RECEIVED:
+            yield "arrives", submission._replace(lifecycle=State.ACCEPTED), ()
             return
-        if send.life in ENDED:
+        if submission.lifecycle in TERMINAL_STATES:
             return
-        yield "crash", send._replace(life=CRASHED, told=send.told or "unknown"), ()
-        yield from self.claim_steps(state, i, send)
-        yield from self.dispatch_steps(state, i, send)
-        yield from self.give_up_steps(state, i, send)
-
-    def claim_steps(self, state: tuple, i: int, send: Send):
-        """Yield making a claim, appending it once more, and reading it back."""
-        if send.life == State.ACCEPTED and send.tries < self.tries[i]:
-            claimed = fire(send, Event.CLAIM)._replace(
-                claim=ClaimState.PENDING, tries=send.tries + 1
+        yield (
+            "crash",
+            submission._replace(
+                lifecycle=CRASHED, executed=submission.executed or "unknown"
+            ),
+            (),
+        )
+        yield from self.claim_steps(state, i, submission)
+        yield from self.dispatch_steps(state, i, submission)
+        yield from self.give_up_steps(state, i, submission)
+
+    def claim_steps(self, state: tuple, i: int, submission: Submission):
+        """Yield making a claim, appending it again, and reading the decision."""
+        if submission.lifecycle == State.ACCEPTED and submission.tries < self.tries[i]:
+            claimed = fire(submission, Event.CLAIM)._replace(
+                claim=ClaimState.PENDING, tries=submission.tries + 1
             )
             yield "claim", claimed, (Append("claim", i, self.number(claimed)),)
-        if send.life != State.CLAIMING:
+        if submission.lifecycle != State.CLAIMING:
             return
-        log, flight, _ = state
-        mine = Append("claim", i, self.number(send))
-        if log.count(mine) + flight.count(mine) < self.copies:
-            yield "append again", send, (mine,)
+        log, in_flight, _ = state
+        mine = Append("claim", i, self.number(submission))
+        if log.count(mine) + in_flight.count(mine) < self.copies:
+            yield "append again", submission, (mine,)
         if mine in log:
-            yield from self.read_back(state, i, send)
+            yield from self.read_back(state, i, submission)
 
-    def number(self, send: Send) -> int:
-        """Return what tells the present claim's id from those of earlier tries."""
-        return send.tries
+    def number(self, submission: Submission) -> int:
+        """Return the number that tells the current claim's id from earlier ones."""
+        return submission.tries
 
-    def read_back(self, state: tuple, i: int, send: Send):
-        """Yield acting on the log's decision."""
-        if self.outcome(state, i, send).verdict is ClaimVerdict.WON:
-            yield "won", fire_claim(fire(send, Event.WON), ClaimEvent.WON), ()
+    def read_back(self, state: tuple, i: int, submission: Submission):
+        """Yield acting on the decision that the log's order gives."""
+        if self.outcome(state, i, submission).verdict is ClaimVerdict.WON:
+            yield "won", fire_claim(fire(submission, Event.WON), ClaimEvent.WON), ()
         else:
-            joined = fire(fire(send, Event.LOST), Event.FAIL)
-            after = fire_claim(joined, ClaimEvent.LOST)._replace(told="unknown")
-            yield "lost", after, (Append("release", i, self.number(send)),)
-
-    def outcome(self, state: tuple, i: int, send: Send) -> ClaimOutcome:
-        """Return how the running code's table decides the claim of `send`."""
-        return fold(state[0], self.table_class).outcome(f"{i}.{self.number(send)}")
-
-    def dispatch_steps(self, state: tuple, i: int, send: Send):
-        """Yield sending the request, and what the node learns of it."""
-        if send.life == State.CLAIMED and send.sent < self.dispatches:
-            used = fire_claim(fire(send, Event.DISPATCH), ClaimEvent.USE)
-            server = send.server._replace(at="arriving")
-            yield "dispatch", used._replace(sent=send.sent + 1, server=server), ()
-        if send.life != State.DISPATCHED:
+            joined = fire(fire(submission, Event.LOST), Event.FAIL)
+            after = fire_claim(joined, ClaimEvent.LOST)._replace(executed="unknown")
+            yield "lost", after, (Append("release", i, self.number(submission)),)
+
+    def outcome(self, state: tuple, i: int, submission: Submission) -> ClaimOutcome:
+        """Return how the production claim table decides the claim of `submission`."""
+        return fold(state[0], self.table_class).outcome(
+            f"{i}.{self.number(submission)}"
+        )
+
+    def dispatch_steps(self, state: tuple, i: int, submission: Submission):
+        """Yield dispatching the request, and the results that the node observes."""
+        if (
+            submission.lifecycle == State.CLAIMED
+            and submission.dispatch_count < self.dispatches
+        ):
+            used = fire_claim(fire(submission, Event.DISPATCH), ClaimEvent.USE)
+            server = submission.server._replace(at="arriving")
+            yield (
+                "dispatch",
+                used._replace(
+                    dispatch_count=submission.dispatch_count + 1, server=server
+                ),
+                (),
+            )
+        if submission.lifecycle != State.DISPATCHED:
             return
-        if send.server.at == "done":
-            yield "complete", fire(send, Event.COMPLETE)._replace(told="yes"), ()
-        if send.server.at == "refused":
-            yield "not_started", self.not_started(send), ()
-        yield "fail", self.connection_lost(send), ()
-
-    def not_started(self, send: Send) -> Send:
-        """Return `send` after the server's word that it did not start."""
-        back = fire_claim(fire(send, Event.NOT_STARTED), ClaimEvent.NOT_STARTED)
-        return back._replace(server=send.server._replace(at=""))
-
-    def connection_lost(self, send: Send) -> Send:
-        """Return `send` after its connection was lost without a whole answer."""
-        return fire(send, Event.FAIL)._replace(told="unknown")
-
-    def give_up_steps(self, state: tuple, i: int, send: Send):
-        """Yield answering "not run", and taking the request back from a peer."""
-        if allows(send, Event.REFUSE):
-            after, appended = self.withdraw(i, fire(send, Event.REFUSE))
-            yield "refuse", after._replace(told="no"), appended
-        if send.tries < self.tries[i] and allows(send, Event.HAND_OVER):
-            offered, appended = self.withdraw(i, fire(send, Event.HAND_OVER))
+        if submission.server.at == "done":
+            yield (
+                "complete",
+                fire(submission, Event.COMPLETE)._replace(executed="yes"),
+                (),
+            )
+        if submission.server.at == "refused":
+            yield "not_started", self.not_started(submission), ()
+        yield "fail", self.connection_lost(submission), ()
+
+    def not_started(self, submission: Submission) -> Submission:
+        """Return `submission` after the server reported that it did not start."""
+        back = fire_claim(fire(submission, Event.NOT_STARTED), ClaimEvent.NOT_STARTED)
+        return back._replace(server=submission.server._replace(at=""))
+
+    def connection_lost(self, submission: Submission) -> Submission:
+        """Return `submission` after its connection broke before the response ended."""
+        return fire(submission, Event.FAIL)._replace(executed="unknown")
+
+    def give_up_steps(self, state: tuple, i: int, submission: Submission):
+        """Yield refusing as "not run", and a handover that the peer declines."""
+        if allows(submission, Event.REFUSE):
+            after, appended = self.withdraw(i, fire(submission, Event.REFUSE))
+            yield "refuse", after._replace(executed="no"), appended
+        if submission.tries < self.tries[i] and allows(submission, Event.HAND_OVER):
+            offered, appended = self.withdraw(i, fire(submission, Event.HAND_OVER))
             yield "declined", fire(offered, Event.DECLINED), appended
 
-    def withdraw(self, i: int, send: Send) -> tuple[Send, tuple[Append, ...]]:
-        """Return `send` with its claim withdrawn, and the release to append."""
-        if (NoFlags(), send.claim, ClaimEvent.WITHDRAW) not in CLAIM_TABLE:
-            return send, ()
-        release = Append("release", i, self.number(send))
-        return fire_claim(send, ClaimEvent.WITHDRAW), (release,)
+    def withdraw(
+        self, i: int, submission: Submission
+    ) -> tuple[Submission, tuple[Append, ...]]:
+        """Return `submission` with its claim withdrawn, and the releases to append."""
+        if (NoFlags(), submission.claim, ClaimEvent.WITHDRAW) not in CLAIM_TABLE:
+            return submission, ()
+        release = Append("release", i, self.number(submission))
+        return fire_claim(submission, ClaimEvent.WITHDRAW), (release,)
 
     def invariants(self) -> dict:
-        """Return what must hold in every state."""
+        """Return the predicates that must hold in every state, by name."""
         return {
             "at most one run": at_most_one_run,
             "'not run' is true": not_run_is_true,
@@ -231,52 +270,57 @@
         }
 
     def released_key_is_free(self, state: dict[str, Any]) -> bool:
-        """Return whether a new claim would win exactly if every claim is released.
+        """Return whether a new claim would win if and only if all claims are released.
 
-        Otherwise a caller that was told "not run, come back" would be refused for as
-        long as the window lasts.
+        Otherwise a caller that was told "not run, retry later" would be refused until
+        the claim window ends.
         """
         log = state["log"]
         claims = {r[1:] for r in log if r.kind == "claim"}
         released = {r[1:] for r in log if r.kind == "release"}
-        fresh = Append("claim", len(state["sends"]), 1)
+        fresh = Append("claim", len(state["submissions"]), 1)
         table = fold((*log, fresh), self.table_class)
         won = table.outcome(fresh.record().claim_id).verdict is ClaimVerdict.WON
         return won == (claims <= released)
 
     def goal(self, state: dict[str, Any]) -> bool:
-        """Return whether every sending was answered."""
-        return all(send.told for send in state["sends"])
+        """Return whether every submission got its response."""
+        return all(submission.executed for submission in state["submissions"])
 
 
-def fire(send: Send, event: Event) -> Send:
-    """Return `send` after `event`, by the request's chart."""
-    life, flags = REQUEST_TABLE[send.flags, send.life, event]
-    return send._replace(life=life, flags=flags)
+def fire(submission: Submission, event: Event) -> Submission:
+    """Return `submission` after `event`, by the request's state chart."""
+    lifecycle, flags = REQUEST_TABLE[submission.flags, submission.lifecycle, event]
+    return submission._replace(lifecycle=lifecycle, flags=flags)
 
 
-def allows(send: Send, event: Event) -> bool:
-    """Return whether the request's chart allows `event`."""
-    return (send.flags, send.life, event) in REQUEST_TABLE
+def allows(submission: Submission, event: Event) -> bool:
+    """Return whether the request's state chart allows `event`."""
+    return (submission.flags, submission.lifecycle, event) in REQUEST_TABLE
 
 
-def fire_claim(send: Send, event: ClaimEvent) -> Send:
-    """Return `send` after `event`, by the claim's chart."""
-    return send._replace(claim=CLAIM_TABLE[NoFlags(), send.claim, event][0])
+def fire_claim(submission: Submission, event: ClaimEvent) -> Submission:
+    """Return `submission` after `event`, by the claim's state chart."""
+    return submission._replace(claim=CLAIM_TABLE[NoFlags(), submission.claim, event][0])
 
 
-def settled(send: Send) -> Send:
-    """Return `send` without what no longer matters once it ended."""
-    if send.life not in ENDED:
-        return send
-    server = send.server
+def canonical(submission: Submission) -> Submission:
+    """Return `submission` without the parts that have no effect once it ended.
+
+    States that differ only in these parts become one.
+    """
+    if submission.lifecycle not in TERMINAL_STATES:
+        return submission
+    server = submission.server
     if server.at != "arriving":
         server = server._replace(at="")
-    return Send(CRASHED, tries=send.tries, told=send.told, server=server)
+    return Submission(
+        CRASHED, tries=submission.tries, executed=submission.executed, server=server
+    )
 
 
-def content(table: ClaimTable) -> tuple:
-    """Return everything that decides what `table` does with further records."""
+def table_state(table: ClaimTable) -> tuple:
+    """Return all that determines how `table` treats further records."""
     decided = sorted((name, e.outcome()) for name, e in table.entries.items())
     live = tuple(c.claim_id for c in table.unreleased.get(KEY, ()))
     return (tuple(decided), live, frozenset(table.released))
@@ -284,7 +328,7 @@
 
 @lru_cache(maxsize=100_000)
 def fold(log: tuple, table_class: type[ClaimTable]) -> ClaimTable:
-    """Return the running code's claim table after the records of `log`."""
+    """Return the production claim table after the records of `log`."""
     table = table_class()
     for offset, append in enumerate(log):
         table.apply(offset, 0.0, append.record())
@@ -293,16 +337,16 @@
 
 def at_most_one_run(state: dict[str, Any]) -> bool:
     """Return whether the key ran at most once."""
-    return sum(send.server.runs for send in state["sends"]) <= 1
+    return sum(submission.server.runs for submission in state["submissions"]) <= 1
 
 
 def not_run_is_true(state: dict[str, Any]) -> bool:
-    """Return whether no request ran of which the caller was told that it did not."""
-    return all(s.server.runs == 0 for s in state["sends"] if s.told == "no")
+    """Return whether no request ran that was reported to its caller as not run."""
+    return all(s.server.runs == 0 for s in state["submissions"] if s.executed == "no")
 
 
 def no_release_after_a_run(state: dict[str, Any]) -> bool:
-    """Return whether no claim under which a server ran the request is released."""
-    sends = state["sends"]
-    releases = [r for r in (*state["log"], *state["flight"]) if r.kind == "release"]
-    return all(sends[r.send].server.ran_under != r.tries for r in releases)
+    """Return whether no claim is released under which a server ran the request."""
+    submissions = state["submissions"]
+    releases = [r for r in (*state["log"], *state["in_flight"]) if r.kind == "release"]
+    return all(submissions[r.submission].server.ran_under != r.tries for r in releases)
--- a/spec/handover.py
+++ b/spec/handover.py
@@ -1,11 +1,12 @@
 """Specification of handover: one request, three nodes, two zones under notice.
 
-The first node has accepted the request. Its zone is put under notice, then a second
-zone; a node under notice may be killed at any moment. A record of the request goes
-first, and its receiver only holds it; the sender goes on. Then the sender stops for
-good and sends the answer so far, and the receiver goes on. Messages and their
-acknowledgements may be late or lost. Claims are one register for each key here, as
-:mod:`spec.claims` shows them to be; a continued request claims a key of its own.
+The first node has accepted the request. Its zone is put under reclaim notice, then a
+second zone; a node under notice may be killed at any moment. The sender first sends a
+record of the request, which its receiver only holds, and continues to serve the
+request. Then the sender stops permanently and sends the partial response, and the
+receiver continues the request. Messages and their acknowledgements may be late or lost.
+The claim of a key is modelled as one register, which :mod:`spec.claims` shows to be
+equivalent; a continued request claims a key of its own.
 """
 
 from collections.abc import Iterator
@@ -14,34 +15,37 @@
 from endive_core.lifecycle import REQUEST_TABLE, UNSENT_STATES, Event, Flags, State
 
 ABSENT = "absent"
-OVER = frozenset({State.FINISHED, State.FAILED, State.REFUSED, State.HANDED_OVER})
-FREE = -1
+TERMINAL_STATES = frozenset(
+    {State.FINISHED, State.FAILED, State.REFUSED, State.HANDED_OVER}
+)
+UNCLAIMED = -1
 
 
 class Node(NamedTuple):
-    """One node's part in the request.
+    """The state of the request at one node.
 
     Attributes
     ----------
     under_notice, killed : bool
-        Whether its zone is under notice, and whether it is gone.
+        Whether its zone is under reclaim notice, and whether the node was killed.
     to : int
-        The node that a handover under way goes to.
+        The receiver of the handover in progress, or -1.
     holder : int
-        For a request that is only held, the node that sent its record.
+        For a request that is only held, the node that sent its record; else -1.
     claims : bool
-        Whether it holds the register.
+        Whether the node holds the claim register.
     server : str
-        Where its attempt is: arriving, running, done or stopped.
+        State of its attempt at the server: arriving, running, done or stopped; empty
+        without one.
     ran : bool
-        Whether a server ever ran an attempt of it.
+        Whether a server ever ran an attempt of this node.
     """
 
-    life: str = ABSENT
+    lifecycle: str = ABSENT
     flags: Flags = Flags()
     under_notice: bool = False
     killed: bool = False
-    to: int = -1
+    target: int = -1
     holder: int = -1
     claims: bool = False
     attempts: int = 0
@@ -50,7 +54,7 @@
 
 
 class Message(NamedTuple):
-    """A call between two nodes, or its answer."""
+    """A call between two nodes, or its response."""
 
     kind: str
     sender: int
@@ -59,14 +63,16 @@
 
 
 class HandoverModel:
-    """One request, handed over under notice.
+    """One request, handed over under reclaim notice.
 
     Parameters
     ----------
     non_idempotent : bool
-        Which kind of request.
+        Whether the request is non-idempotent.
     attempts : int
-        How often each node may send it to a server.
+        How often each node may send the request to a server.
+    count : int
+        Number of nodes.
     """
 
     fields = ("nodes", "sent", "claimed")
@@ -77,24 +83,27 @@
         self.name = f"{type(self).__name__} {kind} {count}"
 
     def initial(self) -> tuple:
-        """Return the request accepted at the first node."""
+        """Return the state in which the first node has accepted the request."""
         first = Node(State.ACCEPTED, Flags(self.non_idempotent))
         others = (Node(flags=Flags(self.non_idempotent)),) * (self.count - 1)
-        return ((first, *others), frozenset(), FREE)
+        return ((first, *others), frozenset(), UNCLAIMED)
 
     def steps(self, state: tuple) -> Iterator[tuple[str, tuple]]:
-        """Yield every step that can follow `state`."""
+        """Yield every transition from `state`, as (label, next state)."""
         nodes, _, _ = state
         for i, node in enumerate(nodes):
             for label, after in self.server_steps(node):
-                yield f"{label} {i}", self.changed(state, i, after)
+                yield f"{label} {i}", self.with_changes(state, i, after)
             if node.killed:
                 continue
-            if self.may_be_noticed(nodes, i):
+            if self.may_get_notice(nodes, i):
                 after = node._replace(under_notice=True)
-                yield f"notice {i}", self.changed(state, i, after)
+                yield f"notice {i}", self.with_changes(state, i, after)
             if node.under_notice:
-                yield f"kill {i}", self.changed(state, i, node._replace(killed=True))
+                yield (
+                    f"kill {i}",
+                    self.with_changes(state, i, node._replace(killed=True)),
+                )
             for label, after in self.run_steps(state, i, node):
                 yield f"{label} {i}", after
             for label, after in self.handover_steps(state, i, node):
@@ -102,116 +111,133 @@
             for label, after in self.receive_steps(state, i, node):
                 yield f"{label} {i}", after
 
-    def may_be_noticed(self, nodes: tuple, i: int) -> bool:
-        """Return whether the wave may reach node `i`: in order, sparing the last."""
+    def may_get_notice(self, nodes: tuple, i: int) -> bool:
+        """Return whether node `i` may get a notice: in order, never the last node."""
         earlier = all(node.under_notice for node in nodes[:i])
         return earlier and i < self.count - 1 and not nodes[i].under_notice
 
-    def changed(self, state, i, node, *, send=(), claimed=None) -> tuple:
-        """Return `state` with node `i`, messages and the register replaced."""
+    def with_changes(self, state, i, node, *, new_messages=(), claimed=None) -> tuple:
+        """Return `state` with a new node `i`, more messages and the register set."""
         nodes, sent, register = state
-        nodes = (*nodes[:i], settled(node), *nodes[i + 1 :])
-        sent = frozenset(m for m in sent.union(send) if matters(m, nodes))
+        nodes = (*nodes[:i], canonical(node), *nodes[i + 1 :])
+        sent = frozenset(m for m in sent.union(new_messages) if is_relevant(m, nodes))
         return (nodes, sent, register if claimed is None else claimed)
 
     def server_steps(self, node: Node) -> Iterator[tuple[str, Node]]:
-        """Yield what a server does with the node's attempt."""
+        """Yield the steps of the server that has the node's attempt."""
         if node.server == "arriving":
             yield "server runs", node._replace(server="running", ran=True)
         elif node.server == "running" and self.non_idempotent:
             yield "server completes", node._replace(server="done")
 
     def run_steps(self, state: tuple, i: int, node: Node):
-        """Yield serving the request, and giving it up."""
+        """Yield serving the request, refusing it and failing it."""
         register = state[2]
-        if node.life == State.ACCEPTED and self.non_idempotent:
-            yield "claim", self.changed(state, i, fire(node, Event.CLAIM))
-        if node.life == State.CLAIMING:
-            if register == FREE:
+        if node.lifecycle == State.ACCEPTED and self.non_idempotent:
+            yield "claim", self.with_changes(state, i, fire(node, Event.CLAIM))
+        if node.lifecycle == State.CLAIMING:
+            if register == UNCLAIMED:
                 won = fire(node, Event.WON)._replace(claims=True)
-                yield "won", self.changed(state, i, won, claimed=i)
+                yield "won", self.with_changes(state, i, won, claimed=i)
             else:
                 lost = fire(fire(node, Event.LOST), Event.FAIL)
-                yield "lost", self.changed(state, i, lost)
+                yield "lost", self.with_changes(state, i, lost)
         queued = node
-        if node.life == State.ACCEPTED and not self.non_idempotent:
+        if node.lifecycle == State.ACCEPTED and not self.non_idempotent:
             queued = fire(node, Event.ENQUEUE)
         if allows(queued, Event.DISPATCH) and node.attempts < self.attempts:
             after = fire(queued, Event.DISPATCH)
             after = after._replace(server="arriving", attempts=node.attempts + 1)
-            yield "dispatch", self.changed(state, i, after)
-        if node.life == State.DISPATCHED:
+            yield "dispatch", self.with_changes(state, i, after)
+        if node.lifecycle == State.DISPATCHED:
             yield from self.end_steps(state, i, node)
         if allows(node, Event.REFUSE):
-            yield "refuse", self.freed(state, i, fire(node, Event.REFUSE))
-        if node.life in (*UNSENT_STATES, State.MOVING) and allows(node, Event.FAIL):
-            yield "fail", self.changed(state, i, fire(node, Event.FAIL))
+            yield "refuse", self.with_claim_released(state, i, fire(node, Event.REFUSE))
+        if node.lifecycle in (*UNSENT_STATES, State.MOVING) and allows(
+            node, Event.FAIL
+        ):
+            yield "fail", self.with_changes(state, i, fire(node, Event.FAIL))
 
     def end_steps(self, state: tuple, i: int, node: Node):
-        """Yield what a node learns of its attempt."""
-        whole = "done" if self.non_idempotent else "running"
-        if node.server == whole:
-            yield "complete", self.changed(state, i, fire(node, Event.COMPLETE))
+        """Yield the results of its attempt that a node observes."""
+        completed = "done" if self.non_idempotent else "running"
+        if node.server == completed:
+            yield "complete", self.with_changes(state, i, fire(node, Event.COMPLETE))
         lost = Event.FAIL if self.non_idempotent else Event.SERVER_LOST
-        yield "server lost", self.changed(state, i, fire(node, lost))
+        yield "server lost", self.with_changes(state, i, fire(node, lost))
 
-    def freed(self, state: tuple, i: int, node: Node) -> tuple:
+    def with_claim_released(self, state: tuple, i: int, node: Node) -> tuple:
         """Return `state` with the node's claim withdrawn and released."""
         if not node.claims:
-            return self.changed(state, i, node)
-        return self.changed(state, i, node._replace(claims=False), claimed=FREE)
+            return self.with_changes(state, i, node)
+        return self.with_changes(
+            state, i, node._replace(claims=False), claimed=UNCLAIMED
+        )
 
     def handover_steps(self, state: tuple, i: int, node: Node):
-        """Yield sending the record, stopping, and learning what became of it."""
-        if not node.under_notice or node.life in (ABSENT, *OVER):
+        """Yield sending the record, stopping, and the results of the handover."""
+        if not node.under_notice or node.lifecycle in (ABSENT, *TERMINAL_STATES):
             return
         sent = state[1]
         for j in range(i + 1, self.count):
             record = Message("record", i, j)
             if record not in sent:
-                yield f"record to {j} from", self.offered(state, i, node, record)
+                yield (
+                    f"record to {j} from",
+                    self.with_record_sent(state, i, node, record),
+                )
             if Message("held", j, i) in sent:
                 yield from self.stop_steps(state, i, node, j)
-        if node.life == State.HANDING_OVER:
-            if Message("took", node.to, i) in sent:
+        if node.lifecycle == State.HANDING_OVER:
+            if Message("took", node.target, i) in sent:
                 after = fire(node, Event.ACKNOWLEDGED)
-                yield "acknowledged", self.changed(state, i, after)
-            if Message("declined", node.to, i) in sent:
-                after = fire(node, Event.DECLINED)._replace(to=-1)
-                yield "declined", self.changed(state, i, after)
-            after = fire(node, Event.UNACKNOWLEDGED)._replace(to=-1)
-            yield "unacknowledged", self.changed(state, i, after)
-
-    def offered(self, state: tuple, i: int, node: Node, record: Message) -> tuple:
-        """Return `state` with the record sent: from now on the receiver may run it."""
+                yield "acknowledged", self.with_changes(state, i, after)
+            if Message("declined", node.target, i) in sent:
+                after = fire(node, Event.DECLINED)._replace(target=-1)
+                yield "declined", self.with_changes(state, i, after)
+            after = fire(node, Event.UNACKNOWLEDGED)._replace(target=-1)
+            yield "unacknowledged", self.with_changes(state, i, after)
+
+    def with_record_sent(
+        self, state: tuple, i: int, node: Node, record: Message
+    ) -> tuple:
+        """Return `state` with the record sent; the receiver may run it from now on."""
         after = fire(node, Event.OFFER) if allows(node, Event.OFFER) else node
-        return self.changed(state, i, after, send=[record])
+        return self.with_changes(state, i, after, new_messages=[record])
 
     def stop_steps(self, state: tuple, i: int, node: Node, j: int):
-        """Yield stopping for good and sending the answer so far to node `j`."""
+        """Yield stopping permanently and sending the partial response to node `j`."""
         if any(m.kind == "answer" and m[1:3] == (i, j) for m in state[1]):
             return
-        if node.life == State.JOINING:
+        if node.lifecycle == State.JOINING:
             answer = Message("answer", i, j, True)
-            yield f"pass on to {j} from", self.changed(state, i, node, send=[answer])
+            yield (
+                f"pass on to {j} from",
+                self.with_changes(state, i, node, new_messages=[answer]),
+            )
             return
         stopped = node
-        if node.life == State.DISPATCHED:
-            stopped = self.stopped(node)
+        if node.lifecycle == State.DISPATCHED:
+            stopped = self.stop_attempt(node)
         if not allows(stopped, Event.HAND_OVER):
             return
-        given = fire(stopped, Event.HAND_OVER)._replace(to=j)
+        given = fire(stopped, Event.HAND_OVER)._replace(target=j)
         answer = Message("answer", i, j, given.flags.sent_before)
-        after = self.freed(state, i, given)
+        after = self.with_claim_released(state, i, given)
         if given.flags.sent_before and given.claims:
-            after = self.changed(state, i, given._replace(claims=False), claimed=FREE)
-        yield f"stop for {j} at", self.changed(after, i, after[0][i], send=[answer])
-
-    def stopped(self, node: Node) -> Node:
-        """Return `node` with its attempt stopped, if that can be.
-
-        A server confirms only that a request which it runs has stopped. An idempotent
-        request need not be confirmed: its attempt is left alone.
+            after = self.with_changes(
+                state, i, given._replace(claims=False), claimed=UNCLAIMED
+            )
+        yield (
+            f"stop for {j} at",
+            self.with_changes(after, i, after[0][i], new_messages=[answer]),
+        )
+
+    def stop_attempt(self, node: Node) -> Node:
+        """Return `node` with its attempt stopped, if that is possible.
+
+        A server confirms a stop only for a request that it is running. An idempotent
+        request needs no confirmation, so its attempt is left running.
         """
         if not self.non_idempotent:
             return fire(node, Event.SERVER_LOST)
@@ -220,52 +246,62 @@
         return node
 
     def receive_steps(self, state: tuple, i: int, node: Node):
-        """Yield taking records and answers, and taking a holder for dead."""
+        """Yield receiving records and partial responses, and the holder's time-out."""
         for message in sorted(state[1]):
             if message.receiver != i:
                 continue
             j = message.sender
-            takes = node.life == ABSENT and not node.under_notice
-            if message.kind == "record" and takes:
-                held = node._replace(life=State.JOINING, holder=j)
+            may_hold = node.lifecycle == ABSENT and not node.under_notice
+            if message.kind == "record" and may_hold:
+                held = node._replace(lifecycle=State.JOINING, holder=j)
                 reply = Message("held", i, j)
-                yield f"hold for {j} at", self.changed(state, i, held, send=[reply])
-            if message.kind == "answer" and not self.answered(state, i, j):
+                yield (
+                    f"hold for {j} at",
+                    self.with_changes(state, i, held, new_messages=[reply]),
+                )
+            if message.kind == "answer" and not self.has_replied(state, i, j):
                 yield from self.answer_steps(state, i, node, message)
-        if node.life == State.JOINING:
-            yield "holder silent", self.changed(state, i, self.holder_silent(node))
+        if node.lifecycle == State.JOINING:
+            yield "holder silent", self.with_changes(state, i, self.holder_silent(node))
 
-    def answered(self, state: tuple, i: int, j: int) -> bool:
-        """Return whether node `i` answered the answer of node `j` already."""
+    def has_replied(self, state: tuple, i: int, j: int) -> bool:
+        """Return whether node `i` has replied to the partial response of node `j`."""
         return bool({Message("took", i, j), Message("declined", i, j)} & state[1])
 
     def answer_steps(self, state: tuple, i: int, node: Node, message: Message):
-        """Yield going on with a request that its sender stopped, or declining it."""
+        """Yield continuing a request that its sender stopped, or declining it."""
         j = message.sender
-        if node.under_notice or node.life != State.JOINING:
+        if node.under_notice or node.lifecycle != State.JOINING:
             reply = Message("declined", i, j)
-            yield f"decline {j} at", self.changed(state, i, node, send=[reply])
+            yield (
+                f"decline {j} at",
+                self.with_changes(state, i, node, new_messages=[reply]),
+            )
             return
-        after = self.gone_on(node, message.sent_before)
+        after = self.as_owner(node, message.sent_before)
         reply = Message("took", i, j)
-        yield f"go on for {j} at", self.changed(state, i, after, send=[reply])
+        yield (
+            f"go on for {j} at",
+            self.with_changes(state, i, after, new_messages=[reply]),
+        )
 
-    def gone_on(self, node: Node, sent_before: bool) -> Node:
-        """Return `node` as the request's owner."""
+    def as_owner(self, node: Node, sent_before: bool) -> Node:
+        """Return `node` as the owner of the request, which it continues."""
         flags = Flags(self.non_idempotent, sent_before)
-        return node._replace(life=State.ACCEPTED, flags=flags, holder=-1)
+        return node._replace(lifecycle=State.ACCEPTED, flags=flags, holder=-1)
 
     def holder_silent(self, node: Node) -> Node:
-        """Return `node` after it took the record's sender for dead.
+        """Return `node` after the sender of its record is presumed dead.
 
-        Its sender may have sent the request after the record left, and may even live.
+        The sender may have dispatched the request after it sent the record, and may
+        still be alive.
         """
         if self.non_idempotent:
             return fire(node, Event.FAIL)
-        return self.gone_on(node, True)
+        return self.as_owner(node, True)
 
     def invariants(self) -> dict:
-        """Return what must hold in every state."""
+        """Return the predicates that must hold in every state, by name."""
         found = {"'not run' is true": not_run_is_true}
         if self.non_idempotent:
             found["at most one run"] = at_most_one_run
@@ -273,28 +309,33 @@
         return found
 
     def goal(self, state: dict[str, Any]) -> bool:
-        """Return whether the request ended somewhere alive, or nobody could save it.
+        """Return whether the request ended at a node, or no live node has it.
 
-        A node killed before any of its records arrived takes the request along; its
-        caller sees the connection break.
+        A request is lost with a node that is killed before any of its records arrived;
+        its caller sees the connection break.
         """
         nodes = state["nodes"]
-        ended = any(node.life in OVER - {State.HANDED_OVER} for node in nodes)
-        holders = [n for n in nodes if n.life != ABSENT and not n.killed]
+        ended = any(
+            node.lifecycle in TERMINAL_STATES - {State.HANDED_OVER} for node in nodes
+        )
+        holders = [n for n in nodes if n.lifecycle != ABSENT and not n.killed]
         return ended or not holders
 
 
-def settled(node: Node) -> Node:
-    """Return `node` without what no longer matters once it ended or was killed."""
-    if not node.killed and node.life not in OVER:
+def canonical(node: Node) -> Node:
+    """Return `node` without the parts that have no effect once it ended or was killed.
+
+    States that differ only in these parts become one.
+    """
+    if not node.killed and node.lifecycle not in TERMINAL_STATES:
         return node
-    life = node.life if node.life in OVER else ABSENT
+    lifecycle = node.lifecycle if node.lifecycle in TERMINAL_STATES else ABSENT
     under_notice = node.under_notice
     server = node.server
     if not node.flags.non_idempotent and server != "arriving":
         server = ""
     return Node(
-        life,
+        lifecycle,
         Flags(node.flags.non_idempotent),
         under_notice=under_notice,
         killed=node.killed,
@@ -303,39 +344,42 @@
     )
 
 
-def matters(message: Message, nodes: tuple) -> bool:
-    """Return whether `message` can still change anything."""
+def is_relevant(message: Message, nodes: tuple) -> bool:
+    """Return whether `message` can still have an effect."""
     receiver = nodes[message.receiver]
-    if receiver.killed or receiver.life in OVER:
+    if receiver.killed or receiver.lifecycle in TERMINAL_STATES:
         return False
-    return message.kind != "record" or receiver.life == ABSENT
+    return message.kind != "record" or receiver.lifecycle == ABSENT
 
 
 def fire(node: Node, event: Event) -> Node:
-    """Return `node` after `event`, by the request's chart."""
-    life, flags = REQUEST_TABLE[node.flags, node.life, event]
-    return node._replace(life=life, flags=flags)
+    """Return `node` after `event`, by the request's state chart."""
+    lifecycle, flags = REQUEST_TABLE[node.flags, node.lifecycle, event]
+    return node._replace(lifecycle=lifecycle, flags=flags)
 
 
 def allows(node: Node, event: Event) -> bool:
-    """Return whether the request's chart allows `event`."""
-    return (node.flags, node.life, event) in REQUEST_TABLE
+    """Return whether the request's state chart allows `event`."""
+    return (node.flags, node.lifecycle, event) in REQUEST_TABLE
 
 
 def not_run_is_true(state: dict[str, Any]) -> bool:
-    """Return whether nothing ran or will run if a caller was told "not run"."""
+    """Return whether nothing ran if a caller was told "not run".
+
+    As it is checked in every state, nothing runs later either.
+    """
     nodes = state["nodes"]
-    if all(node.life != State.REFUSED for node in nodes):
+    if all(node.lifecycle != State.REFUSED for node in nodes):
         return True
     return not any(node.ran for node in nodes)
 
 
 def at_most_one_run(state: dict[str, Any]) -> bool:
-    """Return whether at most one run was not confirmed to have been stopped."""
+    """Return whether at most one run lacks a confirmation that it stopped."""
     runs = [n for n in state["nodes"] if n.server in ("running", "done")]
     return len(runs) <= 1
 
 
 def at_most_one_sender(state: dict[str, Any]) -> bool:
     """Return whether at most one node may send the request to a server."""
-    return sum(node.life == State.CLAIMED for node in state["nodes"]) <= 1
+    return sum(node.lifecycle == State.CLAIMED for node in state["nodes"]) <= 1
--- a/spec/suite.py
+++ b/spec/suite.py
@@ -1,4 +1,4 @@
-"""Everything that ``python -m spec`` sweeps."""
+"""The models and mutants that ``python -m spec`` checks."""
 
 from spec.claims import ClaimsModel
 from spec.configuration import ConfigurationModel
@@ -17,7 +17,7 @@
 )
 LIVENESS = (
     ClaimsModel((2, 1), dispatches=2),
-    ConfigurationModel(forgets=0),
+    ConfigurationModel(truncations=0),
     HandoverModel(non_idempotent=True),
     HandoverModel(non_idempotent=False, count=2),
 )
--- a/spec/tests/test_claims_model.py
+++ b/spec/tests/test_claims_model.py
@@ -7,8 +7,8 @@
 
 @pytest.mark.parametrize("mutant", CLAIM_MUTANTS, ids=lambda m: m.name)
 def test_check_refutes_a_wrong_variant(mutant):
-    """Each variant makes one plausible mistake; a check that let one of them pass
-    would not notice the same mistake in the node either."""
+    """Each variant has one plausible fault. If the check passed one of them, it would
+    not detect the same fault in the node either."""
     assert sweep(mutant).traces
 
 
@@ -27,17 +27,17 @@
 
 
 class RunsOnce(ClaimsModel):
-    """Claims that nothing ever runs after an earlier "not run"."""
+    """States, wrongly, that nothing runs after an earlier "not run"."""
 
     def invariants(self):
         return {"unreachable": self.never_run_after_not_run}
 
     def never_run_after_not_run(self, state):
-        first, second = state["sends"]
-        return not (first.told == "no" and second.told == "yes")
+        first, second = state["submissions"]
+        return not (first.executed == "no" and second.executed == "yes")
 
 
 def test_key_of_a_request_that_was_not_run_still_runs():
-    """The sweep would hold emptily if nothing ever ran; a caller that was told "not
-    run" must be able to get its answer with its next try."""
+    """The invariants would hold vacuously if nothing ever ran. A caller that was told
+    "not run" must be able to get its answer by a retry."""
     assert sweep(RunsOnce((1, 1))).traces
--- a/spec/tests/test_configuration_model.py
+++ b/spec/tests/test_configuration_model.py
@@ -3,14 +3,14 @@
 from endive_core.records import Change
 
 from spec.checker import sweep, sweep_liveness
-from spec.configuration import ConfigurationModel, newest_usable
+from spec.configuration import ConfigurationModel, newest_usable_snapshot
 from spec.mutants import FOLD_MUTANTS
 
 
 @pytest.mark.parametrize("mutant", FOLD_MUTANTS, ids=lambda m: m.name)
 def test_check_refutes_a_wrong_variant(mutant):
-    """Each variant makes one plausible mistake; nodes would then differ for ever, or
-    an operator would be told what is not so."""
+    """Each variant has one plausible fault, by which nodes differ permanently or an
+    operator gets a wrong outcome."""
     assert sweep(mutant).traces
 
 
@@ -21,18 +21,18 @@
 
 
 def test_every_change_can_still_be_in_force_everywhere():
-    assert sweep_liveness(ConfigurationModel(forgets=0)).holds
+    assert sweep_liveness(ConfigurationModel(truncations=0)).holds
 
 
 def test_late_snapshot_before_a_gap_is_not_usable():
-    """A snapshot's append took effect late, when the log had already forgotten the
-    records right after what it holds. A node that starts from it would lack accepted
-    changes for ever."""
+    """A snapshot's append takes effect late, when the log no longer keeps the records
+    right after those that the snapshot covers. A node that starts from it would lack
+    accepted changes permanently."""
     fold = ConfigurationFold()
     fold.apply(0, Change("a", "priority", "vip", body={}))
     early = fold.snapshot()
     fold.apply(1, Change("b", "priority", "vip", body={}))
     late = fold.snapshot()
-    assert newest_usable(1, [(2, late), (3, early)]) == late
-    assert newest_usable(2, [(3, early)]) is None
-    assert newest_usable(2, [(2, late), (3, early)]) == late
+    assert newest_usable_snapshot(1, [(2, late), (3, early)]) == late
+    assert newest_usable_snapshot(2, [(3, early)]) is None
+    assert newest_usable_snapshot(2, [(2, late), (3, early)]) == late
--- a/spec/tests/test_handover_model.py
+++ b/spec/tests/test_handover_model.py
@@ -7,8 +7,8 @@
 
 @pytest.mark.parametrize("mutant", HANDOVER_MUTANTS, ids=lambda m: m.name)
 def test_check_refutes_a_wrong_variant(mutant):
-    """Each variant makes one plausible mistake while two zones go; callers would be
-    told "not run" of what runs, or a court would be booked twice."""
+    """Each variant has one plausible fault while two zones are reclaimed: a caller is
+    told "not run" of a request that runs, or a non-idempotent request runs twice."""
     assert sweep(mutant).traces
 
 
