--- a/benchmarks/experiments/__init__.py
+++ b/benchmarks/experiments/__init__.py
@@ -1,6 +1,6 @@
-"""Experiments with policies: a deployment's load played against the real decisions.
+"""Comparison of policies by simulating a deployment's load.
 
 ``make experiment`` compares policies on the same seeds and writes a table and a plot.
-There is no network and no process; time is simulated, the decision objects are those
-that a gateway uses.
+Time is simulated in one process without a network; the decision objects are those that
+a gateway uses.
 """
--- a/benchmarks/experiments/__main__.py
+++ b/benchmarks/experiments/__main__.py
@@ -1,4 +1,4 @@
-"""The command: ``python -m experiments compare FILE --policies all,no-backlogs``."""
+"""Command line: ``python -m experiments compare FILE --policies all,no-backlogs``."""
 
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
@@ -20,10 +20,10 @@
     "no-yielding": Options().limits(yield_wait_part=1e9),
     "no-crowding": Options().limits(crowding_s=0.0),
     "fixed-rate": Options(learned_rate=False),
-    "fewer-servers": Options(used_part=1.15),
-    "more-servers": Options(used_part=0.65),
+    "fewer-servers": Options(target_utilisation=1.15),
+    "more-servers": Options(target_utilisation=0.65),
 }
-"""Policies by name: all decisions as a gateway has them, or one of them changed."""
+"""Policies by name: the decisions of a gateway, unchanged or with one changed."""
 
 
 def compare(
@@ -33,16 +33,18 @@
     page: str = "",
     picture: str = "",
 ) -> None:
-    """Play policies on the same seeds; print a table with paired differences.
+    """Simulate policies on the same seeds; print a table with paired differences.
 
     Parameters
     ----------
     file
         A deployment in TOML; see ``benchmarks/experiments/deployments``.
     policies
-        Names, the first of which the others are compared with.
+        Names separated by commas; the others are compared with the first.
+    seeds
+        Number of seeds, from 1 upwards.
     page, picture
-        Where to write the table and the plot as well.
+        Files to which the table and the plot are written, if given.
     """
     names = policies.split(",") if isinstance(policies, str) else list(policies)
     unknown = set(names) - POLICIES.keys()
@@ -50,20 +52,20 @@
         raise SystemExit(f"no policy {sorted(unknown)}, allowed: {', '.join(POLICIES)}")
     jobs = [(file, name, seed) for name in names for seed in range(1, seeds + 1)]
     with ProcessPoolExecutor(WORKERS) as pool:
-        found = list(pool.map(play, jobs))
+        found = list(pool.map(run_job, jobs))
     plays = {name: [] for name in names}
     for (_, name, _), figures in zip(jobs, found, strict=True):
         plays[name].append(figures)
-    made = table(plays)
-    print(made)
+    markdown = table(plays)
+    print(markdown)
     if page:
-        Path(page).write_text(made + "\n")
+        Path(page).write_text(markdown + "\n")
     if picture:
         plot(plays, Path(picture))
 
 
-def play(job: tuple[str, str, int]) -> Figures:
-    """Play one policy on one seed."""
+def run_job(job: tuple[str, str, int]) -> Figures:
+    """Simulate one policy on one seed; `job` is a file, a policy and a seed."""
     file, name, seed = job
     deployment = Deployment.from_file(file)
     return figures_of(deployment, Play(deployment, POLICIES[name], seed).run())
--- a/benchmarks/experiments/deployment.py
+++ b/benchmarks/experiments/deployment.py
@@ -1,4 +1,4 @@
-"""What is played: a deployment's figures, read from TOML and checked."""
+"""Parameters of a simulated deployment, read from TOML and validated."""
 
 import tomllib
 from pathlib import Path
@@ -7,28 +7,29 @@
 
 
 class Model(BaseModel):
-    """A part of the file; a field that it doesn't know is an error."""
+    """Base of the file's sections; unknown fields are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class Engines(Model):
-    """Engines that batch, and read prompts in chunks between other requests' tokens.
+    """Model engines with continuous batching and chunked prefill.
 
     Attributes
     ----------
     step_ms, step_ms_per_request : float
-        Time of one step in which every running request gets a token.
+        Duration of one step, in which every running request gets a token: a constant
+        part and a part for each running request.
     tokens_per_ms : float
-        Prompt tokens read in a millisecond.
+        Prefill rate, prompt tokens in a millisecond.
     chunk : int
-        Most prompt tokens read in one step.
+        Maximum number of prompt tokens prefilled in one step.
     memory_tokens : int
-        Tokens that running requests and kept prompts share.
+        Capacity of the prefix cache, tokens.
     start_s : float
-        Time from an order to the first request, seconds.
+        Time from an autoscaling order until the engine is ready, seconds.
     reclaimable_price : float
-        Price of a reclaimable engine as a part of an on-demand one's.
+        Price of a reclaimable engine as a fraction of an on-demand one's.
     """
 
     slots: int = Field(gt=0)
@@ -57,13 +58,13 @@
     Attributes
     ----------
     per_s : float
-        Mean rate over all nodes.
+        Mean rate over all nodes, requests a second.
     worth : float
-        What one answered in time is worth.
+        Worth of one request that is answered within its target.
     sessions : int
-        Sessions whose requests share a part of their prompts.
+        Number of sessions; requests of a session share a part of their prompts.
     common : int
-        Prompt beginnings that sessions share, drawn evenly.
+        Number of prompt prefixes shared between sessions, drawn uniformly.
     """
 
     per_s: float = Field(gt=0)
@@ -81,14 +82,16 @@
 
 
 class Wave(Model):
-    """Reclaims of one zone after the other.
+    """Reclaims of availability zones, one after the other.
 
     Attributes
     ----------
     at_s : list of float
-        When each zone goes, in an order that the seed draws.
-    notice_s, refused_s : float
-        Seconds from the notice to the end, and in which the zone gives no new ones.
+        Times of the reclaim notices, seconds; the seed draws the order of the zones.
+    notice_s : float
+        Time from the notice until the engines are removed, seconds.
+    refused_s : float
+        Time from the notice in which the zone has no reclaimable engines, seconds.
     """
 
     at_s: list[float]
@@ -97,7 +100,17 @@
 
 
 class Deployment(Model):
-    """All of one file."""
+    """All parameters of one file.
+
+    Attributes
+    ----------
+    one_way_ms : float
+        Network delay from a node to an engine, milliseconds.
+    swing : float
+        Amplitude of the load's sine wave, as a fraction of the mean.
+    period_s : float
+        Period of that wave, seconds.
+    """
 
     nodes: int = Field(gt=0)
     zones: int = Field(gt=1)
@@ -111,5 +124,11 @@
 
     @classmethod
     def from_file(cls, path: str | Path) -> "Deployment":
-        """Read one file; raises pydantic's error that names what is wrong."""
+        """Read one file.
+
+        Raises
+        ------
+        pydantic.ValidationError
+            If a field is missing, unknown or out of range.
+        """
         return cls.model_validate(tomllib.loads(Path(path).read_text()))
--- a/benchmarks/experiments/engines.py
+++ b/benchmarks/experiments/engines.py
@@ -1,4 +1,4 @@
-"""An engine that batches: steps with tokens for all, prompts read in chunks between."""
+"""Simulated model engine with continuous batching and chunked prefill."""
 
 from collections import OrderedDict, deque
 from collections.abc import Callable, Sequence
@@ -6,8 +6,8 @@
 
 from experiments.deployment import Engines
 
-REUSE_S = 10.0
-"""Time after its last use for which a part that is read again counts as read in vain,
+RECENT_USE_S = 10.0
+"""Time after its last use in which a new prefill of a prompt part counts as avoidable,
 seconds."""
 
 
@@ -18,21 +18,21 @@
     Attributes
     ----------
     parts : sequence of (int, int)
-        Hash and tokens of each part of its prompt; the last is its own.
-    to_read, to_make : float
-        Prompt and answer tokens that are left.
-    on_first, on_end : callable
-        Called with the time of the first token, and of the end.
+        Hash and tokens of each part of its prompt; the last is not shared.
+    prompt_tokens_left, answer_tokens_left : float
+        Prompt tokens to prefill and answer tokens to decode.
+    on_first_token, on_end : callable
+        Called with the time of the first token and with that of the end.
     owner : object
-        Whose request it is.
+        The request, as the caller of the engine keeps it.
     yields : bool
-        Whether it is read after all that don't.
+        Whether its prefill waits until no other request waits for one.
     """
 
     parts: Sequence[tuple[int, int]]
-    to_read: float
-    to_make: int
-    on_first: Callable[[float], None]
+    prompt_tokens_left: float
+    answer_tokens_left: int
+    on_first_token: Callable[[float], None]
     on_end: Callable[[float], None]
     owner: object = None
     yields: bool = False
@@ -40,16 +40,17 @@
 
 @dataclass(eq=False)
 class Engine:
-    """One engine, advanced step by step.
+    """One engine, simulated step by step.
 
     Attributes
     ----------
-    kept : OrderedDict
-        Tokens of the prompt parts kept, by hash; least recently used first.
-    read_before : dict of int to float
-        When any engine last used a part; shared by all.
-    read_again : float
-        Tokens read of parts that one had used a short while before.
+    last_used : dict of int to float
+        When any engine last used a prompt part, by hash; shared by all engines.
+    cache : OrderedDict
+        Tokens of the cached prompt parts by hash; least recently used first.
+    read, read_again : float
+        Prompt tokens prefilled, and those of parts that some engine had used within
+        `RECENT_USE_S`.
     """
 
     name: str
@@ -57,92 +58,96 @@
     figures: Engines
     reclaimable: bool
     ready_at: float
-    read_before: dict[int, float]
+    last_used: dict[int, float]
     leaves_at: float = float("inf")
     leaving: bool = False
-    reading: deque = field(default_factory=deque)
-    yielding: deque = field(default_factory=deque)
-    making: list = field(default_factory=list)
-    kept: OrderedDict = field(default_factory=OrderedDict)
-    kept_tokens: float = 0.0
+    prefill_queue: deque = field(default_factory=deque)
+    yielding_queue: deque = field(default_factory=deque)
+    decoding: list = field(default_factory=list)
+    cache: OrderedDict = field(default_factory=OrderedDict)
+    cached_tokens: float = 0.0
     busy_until: float = 0.0
     read: float = 0.0
     read_again: float = 0.0
 
-    def submit(self, sequence: Stream, now: float) -> None:
-        """Queue a request; what is kept of its prompt needn't be read."""
+    def submit(self, stream: Stream, now: float) -> None:
+        """Queue a request; the cached prefix of its prompt needs no prefill."""
         cached = True
-        for part, tokens in sequence.parts[:-1]:
-            cached = cached and part in self.kept
+        for part, tokens in stream.parts[:-1]:
+            cached = cached and part in self.cache
             if cached:
-                self.kept.move_to_end(part)
-                sequence.to_read -= tokens
+                self.cache.move_to_end(part)
+                stream.prompt_tokens_left -= tokens
                 continue
-            if now - self.read_before.get(part, float("-inf")) < REUSE_S:
+            if now - self.last_used.get(part, float("-inf")) < RECENT_USE_S:
                 self.read_again += tokens
-            self._keep(part, tokens)
-        self.read_before.update((part, now) for part, _ in sequence.parts[:-1])
-        (self.yielding if sequence.yields else self.reading).append(sequence)
+            self._cache_part(part, tokens)
+        self.last_used.update((part, now) for part, _ in stream.parts[:-1])
+        (self.yielding_queue if stream.yields else self.prefill_queue).append(stream)
 
-    def _keep(self, part: int, tokens: float) -> None:
-        self.kept[part] = tokens
-        self.kept_tokens += tokens
-        while self.kept_tokens > self.figures.memory_tokens:
-            _, freed = self.kept.popitem(last=False)
-            self.kept_tokens -= freed
+    def _cache_part(self, part: int, tokens: float) -> None:
+        self.cache[part] = tokens
+        self.cached_tokens += tokens
+        while self.cached_tokens > self.figures.memory_tokens:
+            _, freed = self.cache.popitem(last=False)
+            self.cached_tokens -= freed
 
     @property
     def waiting(self) -> int:
-        """Requests without a first token."""
-        return len(self.reading) + len(self.yielding)
+        """Number of requests without a first token."""
+        return len(self.prefill_queue) + len(self.yielding_queue)
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is left to do."""
-        return not (self.reading or self.yielding or self.making)
+        """Whether the engine has no requests."""
+        return not (self.prefill_queue or self.yielding_queue or self.decoding)
 
     def step(self, now: float) -> float:
-        """Do one step that begins at `now`; return when it ends."""
+        """Run one step that begins at `now`; return the time of its end."""
         figures = self.figures
         chunk = 0.0
-        if self.yielding and not self.reading:
-            self.reading.append(self.yielding.popleft())
-        if self.reading and len(self.making) < figures.slots:
-            chunk = min(figures.chunk, max(1.0, self.reading[0].to_read))
-        made_ms = 0.0
-        if self.making:
-            made_ms = figures.step_ms + figures.step_ms_per_request * len(self.making)
-        ends = now + (made_ms + chunk / figures.tokens_per_ms) / 1000
-        self._make(ends)
+        if self.yielding_queue and not self.prefill_queue:
+            self.prefill_queue.append(self.yielding_queue.popleft())
+        if self.prefill_queue and len(self.decoding) < figures.slots:
+            chunk = min(
+                figures.chunk, max(1.0, self.prefill_queue[0].prompt_tokens_left)
+            )
+        decode_ms = 0.0
+        if self.decoding:
+            decode_ms = figures.step_ms + figures.step_ms_per_request * len(
+                self.decoding
+            )
+        ends = now + (decode_ms + chunk / figures.tokens_per_ms) / 1000
+        self._decode(ends)
         if chunk:
-            self._read(chunk, ends)
+            self._prefill(chunk, ends)
         self.busy_until = ends
         return ends
 
-    def _make(self, now: float) -> None:
-        for sequence in list(self.making):
-            sequence.to_make -= 1
-            if sequence.to_make <= 0:
-                self.making.remove(sequence)
-                sequence.on_end(now)
+    def _decode(self, now: float) -> None:
+        for stream in list(self.decoding):
+            stream.answer_tokens_left -= 1
+            if stream.answer_tokens_left <= 0:
+                self.decoding.remove(stream)
+                stream.on_end(now)
 
-    def _read(self, chunk: float, now: float) -> None:
-        sequence = self.reading[0]
-        sequence.to_read -= chunk
+    def _prefill(self, chunk: float, now: float) -> None:
+        stream = self.prefill_queue[0]
+        stream.prompt_tokens_left -= chunk
         self.read += chunk
-        if sequence.to_read > 0:
+        if stream.prompt_tokens_left > 0:
             return
-        self.reading.popleft()
-        sequence.on_first(now)
-        if sequence.to_make > 1:
-            self.making.append(sequence)
+        self.prefill_queue.popleft()
+        stream.on_first_token(now)
+        if stream.answer_tokens_left > 1:
+            self.decoding.append(stream)
         else:
-            sequence.on_end(now)
+            stream.on_end(now)
 
     def lose_all(self) -> list[Stream]:
-        """End at once; return the requests that it had."""
-        lost = [*self.reading, *self.yielding, *self.making]
-        self.reading.clear()
-        self.yielding.clear()
-        self.making.clear()
+        """Drop all requests and return them."""
+        lost = [*self.prefill_queue, *self.yielding_queue, *self.decoding]
+        self.prefill_queue.clear()
+        self.yielding_queue.clear()
+        self.decoding.clear()
         return lost
--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -1,4 +1,4 @@
-"""One play: nodes with the real decisions before engines, in simulated time."""
+"""Simulation of nodes that dispatch to engines with a gateway's decision objects."""
 
 import heapq
 import itertools
@@ -16,7 +16,7 @@
 from endive_core.routing import Scaling
 from endive_core.scheduler import Scheduler
 from endive_gateway.autoscaling import LOAD_WARM_UP_S, MIN_NEEDED_SERVERS
-from endive_gateway.duties import DUTY_INTERVAL_S as ORDER_S
+from endive_gateway.duties import DUTY_INTERVAL_S as AUTOSCALING_INTERVAL_S
 from endive_gateway.peers import BROADCAST_INTERVAL_PER_NODE_S, BROADCAST_INTERVAL_S
 from endive_gateway.placing import GATEWAY_POLICY, INTERLEAVING_FACTOR
 
@@ -25,45 +25,46 @@
 from experiments.traffic import Arrival, arrivals
 
 LOAD_WEIGHT = 0.15
-"""Weight of the newest look at the load, as a gateway's memory of 1.5 s gives it."""
+"""Weight of the newest load sample, equivalent to a gateway's smoothing over 1.5 s."""
 
-LEAVING_S = 5.0
-"""Time after which an engine that is given back is gone, seconds."""
+REMOVAL_DELAY_S = 5.0
+"""Time from releasing an engine until it is gone, seconds."""
 
-AFTER_S = 20.0
-"""Time after the last request in which answers may still end, seconds."""
+DRAIN_S = 20.0
+"""Time after the last arrival in which requests may still end, seconds."""
 
-LISTED_S = 0.7
-"""Time until nodes know of a server that came or leaves, seconds."""
+LISTING_DELAY_S = 0.7
+"""Time until nodes know that a server is ready or leaves, seconds."""
 
 
 @dataclass(frozen=True)
 class Options:
-    """Which decisions take part, and with which limits.
+    """Which decisions are enabled, and their limits.
 
     Attributes
     ----------
     backlogs : bool
-        Whether nodes tell each other the prompts that they wait for.
+        Whether nodes send each other their prefill backlogs.
     learned_rate : bool
-        Whether the engines' prefill rate is learned, or stays the prior.
-    used_part : float
-        Part of a server's time that the load may use.
+        Whether the engines' prefill rate is learned rather than fixed at its initial
+        estimate.
+    target_utilisation : float
+        Fraction of a server's time that the load may use.
     """
 
     policy: Policy = GATEWAY_POLICY
     backlogs: bool = True
     learned_rate: bool = True
-    used_part: float = TARGET_UTILISATION
+    target_utilisation: float = TARGET_UTILISATION
 
     def limits(self, **changes) -> "Options":
-        """Return the same with other limits."""
+        """Return these options with some limits of the policy changed."""
         return replace(self, policy=replace(self.policy, **changes))
 
 
 @dataclass
-class Ended:
-    """What a caller got of one request; times in seconds from its sending."""
+class EndedRequest:
+    """The outcome of one request; times in seconds from its arrival at `at`."""
 
     kind: str
     at: float
@@ -74,17 +75,21 @@
 
 @dataclass
 class Result:
-    """What one play brought."""
+    """The result of one simulation.
 
-    ended: list[Ended] = field(default_factory=list)
+    `servers_s` is the time of all engines in seconds, weighted by their price; `read`
+    and `read_again` count prefilled tokens as :class:`Engine` does.
+    """
+
+    ended: list[EndedRequest] = field(default_factory=list)
     servers_s: float = 0.0
     read: float = 0.0
     read_again: float = 0.0
 
 
 @dataclass(eq=False)
-class Running:
-    """One admitted request on its way."""
+class RunningRequest:
+    """One admitted request."""
 
     node: "Node"
     ticket: Ticket
@@ -93,7 +98,7 @@
 
 
 class Node:
-    """One node's decisions for the engines."""
+    """One node: its scheduler and what it knows of the engines."""
 
     def __init__(self, play: "Play", number: int, options: Options) -> None:
         self.name = f"n{number}"
@@ -107,11 +112,11 @@
         self.backlogs = Backlogs()
         if options.backlogs:
             self.scheduler.placement.backlogs = self.backlogs
-        self.work_s = 0.0
+        self.prefill_work_s = 0.0
 
 
 class Play:
-    """The events of one play of a deployment under some options."""
+    """Event-driven simulation of one deployment under some options."""
 
     def __init__(self, deployment: Deployment, options: Options, seed: int) -> None:
         self.deployment = deployment
@@ -119,102 +124,107 @@
         self.seed = seed
         self.random = Random(seed)
         self.now = 0.0
-        self.order = itertools.count()
+        self.event_numbers = itertools.count()
         self.events: list = []
         self.result = Result()
-        self.read_before: dict[int, float] = {}
+        self.last_used: dict[int, float] = {}
         self.engines: dict[str, Engine] = {}
-        self.numbers = itertools.count()
+        self.engine_numbers = itertools.count()
         self.zones = [f"z{n}" for n in range(deployment.zones)]
         self.nodes = [Node(self, n, options) for n in range(deployment.nodes)]
-        self.running: dict[Ticket, Running] = {}
+        self.running: dict[Ticket, RunningRequest] = {}
         self.load = LoadMeter()
-        self.smoothed = 0.0
+        self.smoothed_load = 0.0
         self.refused_until: dict[str, float] = {}
         self.reclaimed_at = float("-inf")
         self.ordered: dict[Pool, int] = {}
 
     def run(self) -> Result:
-        """Play it; return what callers got and what it cost."""
+        """Run the simulation; return the requests' outcomes and the engines' usage."""
         figures = self.deployment.engines
         for zone in self.zones:
             self.ordered[Pool(zone, False)] = figures.at_start_in_zone
             for _ in range(figures.at_start_in_zone):
                 self._add_engine(zone, reclaimable=False, ready_at=0.0)
         self._list_servers()
-        gap_s = max(
+        interval_s = max(
             BROADCAST_INTERVAL_S, BROADCAST_INTERVAL_PER_NODE_S * self.deployment.nodes
         )
         for number, node in enumerate(self.nodes):
-            self.at(gap_s * number / len(self.nodes), self._tell, node, gap_s)
+            self.schedule(
+                interval_s * number / len(self.nodes),
+                self._broadcast_backlogs,
+                node,
+                interval_s,
+            )
         zones = self.random.sample(self.zones, len(self.zones))
         for zone, at in zip(zones, self.deployment.wave.at_s, strict=False):
-            self.at(at, self._reclaim, zone)
-        self.at(ORDER_S, self._order_servers)
-        coming = arrivals(self.deployment, self.seed)
-        self._next_arrival(coming)
-        end = self.deployment.seconds + AFTER_S
+            self.schedule(at, self._reclaim, zone)
+        self.schedule(AUTOSCALING_INTERVAL_S, self._scale)
+        upcoming = arrivals(self.deployment, self.seed)
+        self._next_arrival(upcoming)
+        end = self.deployment.seconds + DRAIN_S
         while self.events and self.events[0][0] <= end:
-            self.now, _, act, given = heapq.heappop(self.events)
-            act(*given)
+            self.now, _, action, arguments = heapq.heappop(self.events)
+            action(*arguments)
         for engine in self.engines.values():
-            self._count(engine)
+            self._add_usage(engine)
         return self.result
 
-    def at(self, time: float, act: Callable[..., None], *given) -> None:
-        """Let `act` happen at `time`."""
-        heapq.heappush(self.events, (time, next(self.order), act, given))
+    def schedule(self, time: float, action: Callable[..., None], *arguments) -> None:
+        """Schedule `action` at `time`."""
+        heapq.heappush(self.events, (time, next(self.event_numbers), action, arguments))
 
     # Callers
 
-    def _next_arrival(self, coming) -> None:
-        arrival = next(coming, None)
+    def _next_arrival(self, upcoming) -> None:
+        arrival = next(upcoming, None)
         if arrival is not None:
-            self.at(arrival.at, self._arrive, arrival, coming)
+            self.schedule(arrival.at, self._arrive, arrival, upcoming)
 
-    def _arrive(self, arrival: Arrival, coming) -> None:
-        self._next_arrival(coming)
+    def _arrive(self, arrival: Arrival, upcoming) -> None:
+        self._next_arrival(upcoming)
         node = self.nodes[arrival.node]
         ticket = node.scheduler.offer(arrival.call, self.now)
         if isinstance(ticket, Refusal):
-            self.result.ended.append(Ended(arrival.kind, arrival.at, "refused"))
+            self.result.ended.append(EndedRequest(arrival.kind, arrival.at, "refused"))
             return
-        self.running[ticket] = Running(node, ticket, arrival)
-        self._pump(node)
+        self.running[ticket] = RunningRequest(node, ticket, arrival)
+        self._dispatch_queued(node)
 
-    def _pump(self, node: Node) -> None:
+    def _dispatch_queued(self, node: Node) -> None:
         while (sent := node.scheduler.next_dispatch(self.now)) is not None:
             self._send(node, sent.ticket, sent.server)
         for ticket in node.scheduler.take_expired():
-            self._note_end(self.running.pop(ticket), "refused")
+            self._record_end(self.running.pop(ticket), "refused")
 
-    def _note_end(self, run: Running, outcome: str) -> None:
+    def _record_end(self, run: RunningRequest, outcome: str) -> None:
         arrival = run.arrival
         total_s = self.now - arrival.at
         self.result.ended.append(
-            Ended(arrival.kind, arrival.at, outcome, run.first_s, total_s)
+            EndedRequest(arrival.kind, arrival.at, outcome, run.first_s, total_s)
         )
 
     def _send(self, node: Node, ticket: Ticket, server: str) -> None:
         run = self.running[ticket]
         arrival = run.arrival
         engine = self.engines[server]
-        node.work_s += (
+        node.prefill_work_s += (
             ticket.uncached_tokens * node.rate.seconds_per_token / INTERLEAVING_FACTOR
         )
         stream = Stream(
             arrival.parts,
             arrival.call.prompt_tokens,
             arrival.answer_tokens,
-            lambda at: self.at(at, self._first, run),
-            lambda at: self.at(at, self._end, run),
+            lambda at: self.schedule(at, self._first_token, run),
+            lambda at: self.schedule(at, self._end, run),
             run,
             ticket.yields,
         )
-        way_s = self.deployment.one_way_ms / 1000
-        self.at(self.now + way_s, self._begin, engine, stream)
+        delay_s = self.deployment.one_way_ms / 1000
+        self.schedule(self.now + delay_s, self._arrive_at_engine, engine, stream)
 
-    def _begin(self, engine: Engine, stream: Stream) -> None:
+    def _arrive_at_engine(self, engine: Engine, stream: Stream) -> None:
         if engine.name not in self.engines:
             self._lose(stream)
             return
@@ -224,54 +234,56 @@
 
     def _step(self, engine: Engine) -> None:
         if engine.name in self.engines and not engine.idle:
-            self.at(engine.step(self.now), self._step, engine)
+            self.schedule(engine.step(self.now), self._step, engine)
 
-    def _first(self, run: Running) -> None:
+    def _first_token(self, run: RunningRequest) -> None:
         if run.ticket.server in self.engines:
             run.node.scheduler.started(run.ticket, self.now)
             run.first_s = self.now - run.arrival.at
 
-    def _end(self, run: Running) -> None:
+    def _end(self, run: RunningRequest) -> None:
         engine = self.engines.get(run.ticket.server)
         if engine is None:
             return
         scheduler = run.node.scheduler
         scheduler.finished(run.ticket, self.now, tokens=run.arrival.answer_tokens)
         scheduler.report(
-            engine.name, len(engine.making), engine.waiting, as_of=self.now
+            engine.name, len(engine.decoding), engine.waiting, as_of=self.now
         )
         del self.running[run.ticket]
-        self._note_end(run, "ok")
-        self._pump(run.node)
+        self._record_end(run, "ok")
+        self._dispatch_queued(run.node)
 
     def _lose(self, stream: Stream) -> None:
         run = stream.owner
         if self.running.pop(run.ticket, None) is not None:
             run.node.scheduler.cancelled(run.ticket, self.now)
-            self._note_end(run, "lost")
+            self._record_end(run, "lost")
 
-    # What nodes tell each other
+    # Exchange of backlogs between nodes
 
-    def _tell(self, node: Node, gap_s: float) -> None:
+    def _broadcast_backlogs(self, node: Node, interval_s: float) -> None:
         loads = node.scheduler.servers.servers.values()
-        told = largest_backlogs({load.id: load.starting_tokens for load in loads})
+        own_backlogs = largest_backlogs(
+            {load.id: load.starting_tokens for load in loads}
+        )
         for other in self.nodes:
             if other is not node:
-                other.backlogs.receive(node.name, told, self.now)
-        self._pump(node)
-        self.at(self.now + gap_s, self._tell, node, gap_s)
+                other.backlogs.receive(node.name, own_backlogs, self.now)
+        self._dispatch_queued(node)
+        self.schedule(self.now + interval_s, self._broadcast_backlogs, node, interval_s)
 
     # Servers
 
     def _add_engine(self, zone: str, *, reclaimable: bool, ready_at: float) -> None:
-        name = f"e{next(self.numbers)}"
+        name = f"e{next(self.engine_numbers)}"
         self.engines[name] = Engine(
             name,
             zone,
             self.deployment.engines,
             reclaimable,
             ready_at,
-            self.read_before,
+            self.last_used,
         )
 
     def _list_servers(self) -> None:
@@ -290,7 +302,7 @@
                 for engine in usable
             ]
             node.scheduler.set_servers(views)
-            self._pump(node)
+            self._dispatch_queued(node)
 
     def _view(self, engine: Engine, rate: float) -> ServerView:
         slots = self.deployment.engines.slots
@@ -298,25 +310,27 @@
             engine.name, "", engine.zone, "s", slots, rate, 50.0, reclaimable=True
         )
 
-    def _order_servers(self) -> None:
-        self._measure()
-        wanted = desired_servers(self._capacity())
-        for pool, servers in wanted.items():
+    def _scale(self) -> None:
+        self._measure_load()
+        desired = desired_servers(self._capacity_view())
+        for pool, servers in desired.items():
             if pool.reclaimable and self.refused_until.get(pool.zone, 0) > self.now:
                 continue
             self._resize(pool, servers)
-        self.at(self.now + ORDER_S, self._order_servers)
+        self.schedule(self.now + AUTOSCALING_INTERVAL_S, self._scale)
 
-    def _measure(self) -> None:
-        prompts = sum(node.work_s for node in self.nodes) / ORDER_S
+    def _measure_load(self) -> None:
+        prompts = (
+            sum(node.prefill_work_s for node in self.nodes) / AUTOSCALING_INTERVAL_S
+        )
         for node in self.nodes:
-            node.work_s = 0.0
+            node.prefill_work_s = 0.0
         slots = self.deployment.engines.slots
-        running = sum(len(e.making) for e in self.engines.values()) / slots
-        self.smoothed += LOAD_WEIGHT * (prompts + running - self.smoothed)
-        self.load.add(self.smoothed, self.now)
+        running = sum(len(e.decoding) for e in self.engines.values()) / slots
+        self.smoothed_load += LOAD_WEIGHT * (prompts + running - self.smoothed_load)
+        self.load.add(self.smoothed_load, self.now)
 
-    def _capacity(self) -> CapacityView:
+    def _capacity_view(self) -> CapacityView:
         figures = self.deployment.engines
         pools: dict[Pool, PoolState] = {}
         for engine in self.engines.values():
@@ -327,7 +341,7 @@
             elif engine.ready_at <= self.now:
                 state.ready += 1
         at_start = len(self.zones) * figures.at_start_in_zone
-        needed = self.load.peak() / self.options.used_part
+        needed = self.load.peak() / self.options.target_utilisation
         if self.now < LOAD_WARM_UP_S:
             needed = max(needed, at_start)
         scaling = Scaling(
@@ -359,11 +373,11 @@
         for _ in range(servers - len(mine)):
             ready_at = self.now + start_s
             self._add_engine(pool.zone, reclaimable=pool.reclaimable, ready_at=ready_at)
-            self.at(ready_at + LISTED_S, self._list_servers)
+            self.schedule(ready_at + LISTING_DELAY_S, self._list_servers)
         for engine in mine[servers:]:
             engine.leaving = True
-            self.at(self.now + LISTED_S, self._list_servers)
-            self.at(self.now + LEAVING_S, self._remove, engine)
+            self.schedule(self.now + LISTING_DELAY_S, self._list_servers)
+            self.schedule(self.now + REMOVAL_DELAY_S, self._remove, engine)
 
     def _reclaim(self, zone: str) -> None:
         wave = self.deployment.wave
@@ -373,19 +387,19 @@
         for engine in self.engines.values():
             if engine.zone == zone and engine.reclaimable:
                 engine.leaving = True
-                self.at(self.now + wave.notice_s, self._remove, engine)
-        self.at(self.now + LISTED_S, self._list_servers)
+                self.schedule(self.now + wave.notice_s, self._remove, engine)
+        self.schedule(self.now + LISTING_DELAY_S, self._list_servers)
 
     def _remove(self, engine: Engine) -> None:
         if engine.name not in self.engines:
             return
-        self._count(engine)
+        self._add_usage(engine)
         del self.engines[engine.name]
         for stream in engine.lose_all():
             self._lose(stream)
         self._list_servers()
 
-    def _count(self, engine: Engine) -> None:
+    def _add_usage(self, engine: Engine) -> None:
         figures = self.deployment.engines
         price = figures.reclaimable_price if engine.reclaimable else 1.0
         started = max(0.0, engine.ready_at - figures.start_s)
--- a/benchmarks/experiments/report.py
+++ b/benchmarks/experiments/report.py
@@ -1,4 +1,4 @@
-"""What plays brought, compared in pairs: a table and a plot."""
+"""Results of simulations, compared in pairs: a table and a plot."""
 
 import statistics
 from collections.abc import Mapping, Sequence
@@ -9,28 +9,32 @@
 from experiments.play import Result
 
 SERVER_PRICE = 3.2
-"""Price of one second of an on-demand engine, in the unit of the requests' worth: what
-the users' sheets charge."""
+"""Price of one second of an on-demand engine, in the unit of the requests' worth. It is
+the price that the users of the system pay."""
 
-LATE_PART = 0.1
-CONFIDENCE = 1.96
-"""Half width of a 95 % interval in standard errors."""
+LATE_WORTH_SHARE = 0.1
+"""Worth of a request answered after its target, as a fraction of one in time."""
+
+CONFIDENCE_FACTOR = 1.96
+"""Half width of a 95 % confidence interval in standard errors."""
 
 
 @dataclass(frozen=True)
 class Figures:
-    """One play in figures.
+    """Summary of one simulation.
 
     Attributes
     ----------
     served : float
-        Worth of what callers got over the worth of all that they asked for.
+        Worth of the answered requests over the worth of all requests.
     servers : float
-        Price of the engines over the same.
+        Price of the engines over the worth of all requests.
+    read_again : float
+        Fraction of the prefilled tokens whose prefill was avoidable.
     late, lost : dict of str to float
-        Parts by class.
+        Fractions of the requests by class.
     first_p99_s : dict of str to float
-        99th percentile of the time to the first token by class.
+        99th percentile of the time to the first token by class, seconds.
     """
 
     served: float
@@ -42,28 +46,28 @@
 
     @property
     def worth(self) -> float:
-        """Served worth less the engines' price."""
+        """Served worth minus the engines' price."""
         return self.served - self.servers
 
 
 def figures_of(deployment: Deployment, result: Result) -> Figures:
-    """Return one play's figures."""
-    owed = earned = 0.0
+    """Summarise the result of one simulation."""
+    requested_worth = served_worth = 0.0
     late, lost, p99 = {}, {}, {}
     for name, kind in deployment.requests.items():
         ended = [end for end in result.ended if end.kind == name]
         target_s = kind.target_ms / 1000
         ok = [end for end in ended if end.outcome == "ok"]
-        late_ones = sum(end.first_s > target_s for end in ok)
-        owed += kind.worth * len(ended)
-        earned += kind.worth * (len(ok) - (1 - LATE_PART) * late_ones)
-        late[name] = late_ones / max(1, len(ended))
+        late_count = sum(end.first_s > target_s for end in ok)
+        requested_worth += kind.worth * len(ended)
+        served_worth += kind.worth * (len(ok) - (1 - LATE_WORTH_SHARE) * late_count)
+        late[name] = late_count / max(1, len(ended))
         lost[name] = 1 - len(ok) / max(1, len(ended))
-        firsts = sorted(end.first_s for end in ok) or [0.0]
-        p99[name] = firsts[int(0.99 * (len(firsts) - 1))]
-    again = result.read_again / max(1.0, result.read)
-    servers = SERVER_PRICE * result.servers_s / owed
-    return Figures(earned / owed, servers, again, late, lost, p99)
+        first_token_times = sorted(end.first_s for end in ok) or [0.0]
+        p99[name] = first_token_times[int(0.99 * (len(first_token_times) - 1))]
+    read_again = result.read_again / max(1.0, result.read)
+    servers = SERVER_PRICE * result.servers_s / requested_worth
+    return Figures(served_worth / requested_worth, servers, read_again, late, lost, p99)
 
 
 def table(plays: Mapping[str, Sequence[Figures]]) -> str:
@@ -72,7 +76,7 @@
     Parameters
     ----------
     plays : mapping of str to sequence of Figures
-        For each policy one play a seed, in the same order of seeds.
+        For each policy one summary a seed, in the same order of seeds.
     """
     first = next(iter(plays.values()))
     kinds = list(first[0].late)
@@ -97,7 +101,7 @@
 
 
 def plot(plays: Mapping[str, Sequence[Figures]], path: Path) -> None:
-    """Draw each policy's worth by seed, less the first policy's."""
+    """Plot each policy's worth by seed, minus the first policy's."""
     from matplotlib.figure import Figure
 
     first = next(iter(plays.values()))
@@ -121,7 +125,7 @@
     if len(differences) < 2:
         return f"{differences[0]:+.3f}"
     error = statistics.stdev(differences) / len(differences) ** 0.5
-    return f"{statistics.mean(differences):+.4f} ± {CONFIDENCE * error:.4f}"
+    return f"{statistics.mean(differences):+.4f} ± {CONFIDENCE_FACTOR * error:.4f}"
 
 
 def _differences(found: Sequence[Figures], first: Sequence[Figures]) -> list[float]:
--- a/benchmarks/experiments/traffic.py
+++ b/benchmarks/experiments/traffic.py
@@ -1,4 +1,4 @@
-"""Requests as callers send them: classes, sessions that share parts, a wave of load."""
+"""Generated requests: classes, sessions with shared prefixes, and a varying rate."""
 
 import math
 from collections.abc import Iterator
@@ -10,12 +10,12 @@
 
 from experiments.deployment import Deployment, Length, Requests
 
-LEAST_TOKENS = 16
+MIN_TOKENS = 16
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """One request and what it will take.
+    """One request, with its node, its prompt and the length of its answer.
 
     Attributes
     ----------
@@ -32,7 +32,7 @@
 
 
 def arrivals(deployment: Deployment, seed: int) -> Iterator[Arrival]:
-    """Yield all requests of one play in order of time; the same seed, the same ones."""
+    """Yield all requests of one simulation in order of time, determined by `seed`."""
     random = Random(seed)
     kinds = list(deployment.requests.items())
     sessions = {name: _sessions(kind, random) for name, kind in kinds}
@@ -42,7 +42,7 @@
         now += random.expovariate(rate)
         if now >= deployment.seconds:
             return
-        if random.random() > _load(deployment, now):
+        if random.random() > _load_share(deployment, now):
             continue
         name, kind = random.choices(kinds, [kind.per_s for _, kind in kinds])[0]
         number += 1
@@ -65,8 +65,8 @@
         yield Arrival(now, node, name, call, parts, call.max_tokens)
 
 
-def _load(deployment: Deployment, now: float) -> float:
-    """Return the part of the highest load that is due at `now`."""
+def _load_share(deployment: Deployment, now: float) -> float:
+    """Return the load at `now` as a fraction of the peak load."""
     swing = deployment.swing
     wave = math.sin(2 * math.pi * now / deployment.period_s)
     return (1 + swing * wave) / (1 + swing)
@@ -87,7 +87,7 @@
 
 
 def _draw(length: Length, random: Random) -> int:
-    """Draw from a log-normal distribution with the mean that the length names."""
+    """Draw from the log-normal distribution of `length`, within its bounds."""
     mu = math.log(length.mean) - length.spread**2 / 2
     drawn = random.lognormvariate(mu, length.spread)
-    return int(max(LEAST_TOKENS, min(length.most, drawn)))
+    return int(max(MIN_TOKENS, min(length.most, drawn)))
