--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -1,7 +1,8 @@
-"""The slopes that docs/CAPACITY.md is worked out from, each over three sizes.
+"""Measurements of a node's cost by load, from which docs/CAPACITY.md extrapolates.
 
-Streams go through one real node process between a source and a sink; the rest runs
-the node's own objects in this process.
+Most are taken at three sizes or more. Streams, whole requests, idle nodes and
+configuration changes run against node processes; the rest runs the node's objects in
+this process.
 """
 
 import json
@@ -23,11 +24,11 @@
 from capacity_state import (  # noqa: E402
     MEMBER_COUNTS,
     claim,
-    claimed,
-    kept_kb,
+    claim_table,
     measure_configuration,
     measure_facts,
     measure_memory,
+    retained_kb,
 )
 from endive_core.records import (  # noqa: E402
     CONFIGURATION_STREAM,
@@ -45,17 +46,17 @@
 LOAD_CLIENTS = (1, 8, 32)
 NODE_COUNTS = (2, 4, 8)
 FOLLOWER_COUNTS = (8, 64, 370)
-OBSERVED_COUNTS = (1, 10, 100, 500)
+IDLE_SERVER_COUNTS = (1, 10, 100, 500)
 IDLE_S = 8.0
 REPORTS_PER_S = 50.0
 CLAIM_RATES = (25, 100, 400)
 CLAIM_S = 3.0
 CLAIM_COUNTS = (1000, 5000, 20_000)
-TRIES = 5
+CHANGES = 5
 
 
 def cpu_s(pid: int) -> float:
-    """Return the processor seconds that a process has used."""
+    """Return the processor time that a process has used, seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
@@ -67,7 +68,7 @@
 
 
 def run_json(script: str, *arguments: str) -> dict:
-    """Run a tool of this folder; return the JSON line that it prints."""
+    """Run a script of this folder; return the last line of its output as JSON."""
     done = subprocess.run(
         [sys.executable, str(HERE / script), *arguments],
         capture_output=True,
@@ -78,7 +79,7 @@
 
 
 def with_node(per_write: int, measure: Callable, **sections) -> None:
-    """Start log, source and node, and let `measure` use the node."""
+    """Start log, source and node, and call `measure` with the node."""
     with tempfile.TemporaryDirectory() as folder:
         cluster = builders.Cluster(Path(folder))
         try:
@@ -107,7 +108,7 @@
 
 
 def measure_streams(node: builders.NodeProcess, per_write: int) -> None:
-    """Print processor time a token at each number of streams."""
+    """Print the processor time per token at each number of streams."""
     for streams in STREAM_COUNTS:
         started, before = time.monotonic(), cpu_s(node.process.pid)
         result = run_json(
@@ -120,18 +121,19 @@
         used = cpu_s(node.process.pid) - before
         share = used / (time.monotonic() - started)
         tokens = max(1.0, result["tokens_per_s"])
-        # Streams run for two seconds more than the measured ones, at the same rate.
-        each_us = used / (tokens * (STREAM_S + 2.0)) * 1e6
+        # Streams also run at the same rate for two seconds before the measurement.
+        us_per_token = used / (tokens * (STREAM_S + 2.0)) * 1e6
         print(
-            f"{per_write:8}{streams:9}{tokens:11.0f}{share * 100:9.1f}{each_us:10.1f}"
-            f"{1e6 / each_us:12.0f}{result['gap_p50_ms']:10.1f}"
+            f"{per_write:8}{streams:9}{tokens:11.0f}{share * 100:9.1f}"
+            f"{us_per_token:10.1f}"
+            f"{1e6 / us_per_token:12.0f}{result['gap_p50_ms']:10.1f}"
             f"{result['gap_p95_ms']:10.1f}",
             flush=True,
         )
 
 
 def measure_requests(node: builders.NodeProcess, _per_write: int) -> None:
-    """Print processor time a whole request, and the node's memory."""
+    """Print the processor time per unary request, and the node's memory."""
     print(f"resident before: {resident_mb(node.process.pid):.1f} MB")
     for clients in LOAD_CLIENTS:
         before = cpu_s(node.process.pid)
@@ -152,18 +154,18 @@
 
 
 def measure_in_force() -> None:
-    """Print how long a change takes to be in force on all nodes, over processes."""
+    """Print how long a change takes to be in force on all node processes."""
     for count in NODE_COUNTS:
         with tempfile.TemporaryDirectory() as folder:
             cluster = builders.Cluster(Path(folder))
             try:
                 cluster.with_log()
                 nodes = cluster.add_nodes(count)
-                times = [time_in_force(nodes, level) for level in range(TRIES)]
+                times = [time_in_force(nodes, level) for level in range(CHANGES)]
                 print(
                     f"{count:3} nodes: answered {max(t[0] for t in times):.3f} s, in "
                     f"force on all {max(t[1] for t in times):.3f} s after sending "
-                    f"(slowest of {TRIES})",
+                    f"(slowest of {CHANGES})",
                     flush=True,
                 )
             finally:
@@ -171,7 +173,7 @@
 
 
 def time_in_force(nodes: list, level: int) -> tuple[float, float]:
-    """Return seconds from sending a change to its answer, and to the last node."""
+    """Return the seconds from sending a change to its response and to the last node."""
     path = "/v1/resources/priority/vip"
     body = builders.resource("priority", "vip", level=level)
     started = time.monotonic()
@@ -186,8 +188,8 @@
 
 
 def measure_idle() -> None:
-    """Print what a node without callers spends, by the number of its servers."""
-    for count in OBSERVED_COUNTS:
+    """Print an idle node's processor time and memory by its number of servers."""
+    for count in IDLE_SERVER_COUNTS:
         with tempfile.TemporaryDirectory() as folder:
             cluster = builders.Cluster(Path(folder))
             try:
@@ -204,7 +206,8 @@
                 )
                 time.sleep(2.0)
                 before, started = cpu_s(node.process.pid), time.monotonic()
-                # Two whole rounds of reports: at 50 a second, 500 servers take 10 s.
+                # At 50 reports a second, one round over 500 servers takes 10 s; measure
+                # at least two rounds.
                 time.sleep(max(IDLE_S, 2 * count / REPORTS_PER_S))
                 used = cpu_s(node.process.pid) - before
                 share = used / (time.monotonic() - started)
@@ -218,7 +221,7 @@
 
 
 def measure_claims() -> None:
-    """Print what one shard's writer spends, by claims a second."""
+    """Print the cost of one claim shard's writer by claims a second."""
     with tempfile.TemporaryDirectory() as folder:
         cluster = builders.Cluster(Path(folder))
         try:
@@ -229,11 +232,14 @@
         finally:
             cluster.stop()
     for count in CLAIM_COUNTS:
-        print(f"{count:6} claims kept: {kept_kb(lambda c=count: claimed(c)):.0f} kB")
+        print(
+            f"{count:6} claims kept: "
+            f"{retained_kb(lambda c=count: claim_table(c)):.0f} kB"
+        )
 
 
 def print_claims(url: str, shard: int, rate: int) -> None:
-    """Let claims come at `rate` to one writer, and print its figures."""
+    """Send claims at `rate` to one writer, and print its cost and latency."""
     log = HttpLog(url, 5.0)
     writer = ShardWriter(shard, log, MonotonicClock(), ClaimsSection(), Metrics())
     latencies: list[float] = []
@@ -263,7 +269,7 @@
 
 
 def measure_followers() -> None:
-    """Print how long the log stand-in takes to tell many followers of one record."""
+    """Print how long the simulated log takes to deliver a record to many followers."""
     with tempfile.TemporaryDirectory() as folder:
         cluster = builders.Cluster(Path(folder))
         try:
@@ -277,7 +283,7 @@
 
 
 def time_followers(url: str, count: int) -> float:
-    """Return the seconds from an append until `count` waiting readers have it."""
+    """Return the seconds from an append until `count` waiting readers received it."""
     log = HttpLog(url, 30.0)
     start = log.append(CONFIGURATION_STREAM, ["x"]) + 1
     readers = [
@@ -299,7 +305,7 @@
 
 
 def main() -> None:
-    """Print all slopes."""
+    """Run all measurements and print them."""
     print("Streaming (source and sink in processes of their own)")
     print("a write  streams   tokens/s  core %   us/token  tokens/core   gap p50  p95")
     for per_write in (1, 4):
--- a/benchmarks/bench_claims.py
+++ b/benchmarks/bench_claims.py
@@ -1,8 +1,8 @@
-"""Measure what a claim adds to latency, claims an append, and appends a second.
+"""Measure the latency that a claim adds, claims per append, and appends per second.
 
-Eight nodes' claims, each with its own thrift listener, in one process on loopback; the
-log's stand-in is a process of its own. Claims come at a steady rate (Poisson, fixed
-seed), each at a node by turn, and are used at once.
+The claim components of eight nodes, each with its own thrift listener, run in one
+process on loopback; the simulated log is a separate process. Claims arrive as a Poisson
+process with a fixed seed, at the nodes in turn, and are used immediately.
 """
 
 from gevent import monkey
@@ -32,13 +32,13 @@
 SECONDS = 6.0
 SEED = 4
 CASES = ((5, 200.0), (50, 200.0), (200, 200.0), (400, 200.0), (400, 100.0), (400, 50.0))
-"""(claims a second, fleet's append budget a second)."""
+"""Pairs of claims per second and the append budget of all nodes per second."""
 
 LINE = "{:>9} {:>9} {:>8} {:>8} {:>8} {:>8} {:>9} {:>7} {:>7}"
 
 
 class FixedMembers:
-    """All nodes, always there."""
+    """A membership in which all nodes are always live."""
 
     def __init__(self):
         self.members = []
@@ -49,12 +49,12 @@
 
 
 class CountingLog(HttpLog):
-    """The log's adapter, which counts appends and records."""
+    """A log client that counts appends and records."""
 
     appends = records = 0
 
     def append(self, stream, records):
-        """Append and count."""
+        """Append `records` and count them."""
         offset = super().append(stream, records)
         CountingLog.appends += 1
         CountingLog.records += len(records)
@@ -63,7 +63,10 @@
 
 @dataclass
 class Result:
-    """What one case gave."""
+    """Measurements of one case.
+
+    `waits` are the claims' latencies, seconds; `refused` counts the failed claims.
+    """
 
     rate: float
     budget: float
@@ -73,7 +76,7 @@
     cpu_s: float
 
     def line(self):
-        """Return the case's row."""
+        """Return the case's row of the table."""
         waits = sorted(self.waits)
         return LINE.format(
             self.rate,
@@ -87,12 +90,12 @@
 
 
 def quantile(ordered, q):
-    """Return the value below which a share `q` lies."""
+    """Return the `q` quantile of `ordered`, or 0 if it is empty."""
     return ordered[min(len(ordered) - 1, int(q * len(ordered)))] if ordered else 0.0
 
 
 def make_nodes(url, budget):
-    """Return the claims of each node, and their listeners."""
+    """Return each node's claim component, and their listeners."""
     members, clock = FixedMembers(), MonotonicClock()
     settings = ClaimsSection(appends_per_s=budget)
     nodes, listeners = [], []
@@ -111,9 +114,9 @@
 
 
 def run_case(url, rate, budget, prefix):
-    """Claim at `rate` for a while; return what came of it."""
+    """Claim at `rate` for `SECONDS`; return the measurements."""
     nodes, listeners = make_nodes(url, budget)
-    chance = random.Random(SEED)
+    rng = random.Random(SEED)
     waits, refused, jobs = [], [], []
     CountingLog.appends = CountingLog.records = 0
 
@@ -130,24 +133,24 @@
             key=f"{prefix}-{number}",
             non_idempotent=True,
         )
-        began = time.monotonic()
+        started = time.monotonic()
         try:
             nodes[number % NODES].acquire(request).use()
-            waits.append(time.monotonic() - began)
+            waits.append(time.monotonic() - started)
         except EndiveError:
             refused.append(number)
 
     cpu = resource.getrusage(resource.RUSAGE_SELF)
-    began = time.monotonic()
+    started = time.monotonic()
     number = 0
-    due = began
-    while time.monotonic() < began + SECONDS:
-        due += chance.expovariate(rate)
+    due = started
+    while time.monotonic() < started + SECONDS:
+        due += rng.expovariate(rate)
         gevent.sleep(max(0.0, due - time.monotonic()))
         jobs.append(gevent.spawn(claim, number))
         number += 1
     gevent.joinall(jobs)
-    seconds = time.monotonic() - began
+    seconds = time.monotonic() - started
     after = resource.getrusage(resource.RUSAGE_SELF)
     cpu_s = after.ru_utime + after.ru_stime - cpu.ru_utime - cpu.ru_stime
     for listener in listeners:
--- a/benchmarks/bench_decisions.py
+++ b/benchmarks/bench_decisions.py
@@ -1,8 +1,8 @@
-"""Outcomes of the decisions under load against baselines; fixed seeds.
+"""Compare the scheduler's outcomes under load with baselines; fixed seeds.
 
-``make bench-decisions`` runs all of it, and writes the tables and the plot that stand
-in docs/DECISIONS.md. ``--only NAME`` runs the scenarios whose name holds NAME, with the
-scheduler alone, and writes nothing.
+``make bench-decisions`` runs all scenarios and writes the tables and the plot of
+docs/DECISIONS.md. ``--only NAME`` runs the scenarios whose name contains NAME, with the
+scheduler alone, and writes no files.
 """
 
 import sys
@@ -28,13 +28,13 @@
 WORKERS = 4
 PAGE = Path(__file__).parent.parent / "docs" / "DECISIONS.md"
 PLOT = PAGE.parent / "decisions.svg"
-MARKS = ("<!-- figures -->\n", "<!-- end of figures -->")
+MARKERS = ("<!-- figures -->\n", "<!-- end of figures -->")
 
 
 def make_scheduler(
     model: Model, number: int, policy: Policy | None = None
 ) -> Scheduler:
-    """Return the real decision object for one node."""
+    """Return the production scheduler for one node."""
     made = Scheduler.from_policy(policy or Policy(), Random(1000 + number))
     made.set_servers(model.cluster.views())
     made.set_nodes(model.cluster.nodes)
@@ -45,7 +45,7 @@
 
 
 def make_baseline(kind, model: Model, number: int):
-    """Return one node's baseline of `kind`."""
+    """Return a baseline scheduler of class `kind` for one node."""
     made = kind(model.cluster.views(), Random(1000 + number))
     made.nodes = model.cluster.nodes
     return made
@@ -61,7 +61,7 @@
 
 
 def run_one(scenario: Scenario, decider: str) -> Outcome:
-    """Run one scenario with one decider."""
+    """Run one scenario with the scheduler or baseline named `decider`."""
     if decider in BASELINES:
         kind = BASELINES[decider]
         return run(scenario, lambda m, n: make_baseline(kind, m, n), SEED)
@@ -69,7 +69,7 @@
 
 
 def fair_share(scenario: Scenario, outcome: Outcome) -> float:
-    """Return the least that an organisation got, over its max-min fair share."""
+    """Return the least ratio of an organisation's tokens to its max-min fair share."""
     cluster = scenario.cluster
     capacity = cluster.servers * cluster.slots * cluster.decode_tokens_per_s
     capacity *= scenario.end - scenario.start
@@ -109,7 +109,7 @@
 
 
 def class_rows(results: dict[tuple[str, str], Outcome]) -> list[str]:
-    """Return rows of the part within target by organisation and priority."""
+    """Return rows of the fraction within target by organisation and priority."""
     rows = ["| load | " + " | ".join((*ORGANISATIONS, "broker")) + " |"]
     rows.append("| --- |" + " ---: |" * (len(ORGANISATIONS) + 1))
     for (scenario, decider), o in results.items():
@@ -128,7 +128,7 @@
 
 
 def cost_rows() -> list[str]:
-    """Return rows of what a decision costs."""
+    """Return rows of the time and memory that decisions take."""
     rows = [
         "| servers | queued | offer, us | dispatch, us | finish, us | report, us | "
         "held, KB |",
@@ -160,7 +160,7 @@
 
 
 def plot(results: dict[tuple[str, str], Outcome]) -> None:
-    """Draw the part within target and the recomputed tokens."""
+    """Plot the fraction within target and the recomputed tokens."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -185,14 +185,14 @@
 
 
 def write_page(rows: list[str]) -> None:
-    """Put `rows` between the marks of the page."""
-    before, rest = PAGE.read_text().split(MARKS[0])
-    after = rest.split(MARKS[1])[1]
-    PAGE.write_text(before + MARKS[0] + "\n".join(rows) + "\n" + MARKS[1] + after)
+    """Replace the rows between the markers of the page."""
+    before, rest = PAGE.read_text().split(MARKERS[0])
+    after = rest.split(MARKERS[1])[1]
+    PAGE.write_text(before + MARKERS[0] + "\n".join(rows) + "\n" + MARKERS[1] + after)
 
 
 def main(arguments: list[str]) -> None:
-    """Run what `arguments` ask for; see the module."""
+    """Run the scenarios that `arguments` select; see the module."""
     only = arguments[1] if arguments[:1] == ["--only"] else ""
     deciders = DECIDERS[:1] if only else DECIDERS
     jobs = [(s, d) for s in SCENARIOS if only in s.name for d in deciders]
--- a/benchmarks/bench_handover.py
+++ b/benchmarks/bench_handover.py
@@ -1,7 +1,8 @@
-"""How long a node's handover takes, against the number of requests in flight.
+"""Measure the duration of a node's handover by the number of requests in flight.
 
-Three nodes in three zones, five engines, all callers at the first node. The figure is
-the time from the notice, as the node reads it, to the last acknowledged record.
+There are three nodes in three zones, five engines, and all callers at the first node.
+Durations run from the node's reading of the reclaim notice to its last acknowledged
+record, and to the end of the handover.
 """
 
 import os
@@ -21,13 +22,14 @@
 
 COUNTS = (100, 1_000, 5_000)
 PADDINGS = (0, 400)
-"""Words that lengthen each prompt: 0 and 1.6 kB."""
+"""Words added to each prompt: 0 and 1.6 kB."""
 
 ENGINES = 5
 ENGINE = {"decode_tokens_per_s": 2, "max_batch": 64, "max_waiting": 256}
 MAX_TOKENS = 40
-"""Twenty seconds each, so that none ends while the others are still being accepted;
-and enough engines that admission doesn't refuse the last of 5,000."""
+"""Tokens of each answer. An answer takes 20 s, so that none ends while other requests
+are still being accepted. `ENGINES` is large enough that admission control does not
+refuse the last of 5,000."""
 
 ARRIVALS_PER_S = 300
 WAIT_S = 110.0
@@ -36,7 +38,7 @@
 
 
 def measure(count: int, padding: int) -> dict[str, float]:
-    """Return seconds by event for one handover of `count` requests."""
+    """Return the seconds by log event for one handover of `count` requests."""
     with (
         tempfile.TemporaryDirectory() as folder,
         reclaims.started(
@@ -62,7 +64,7 @@
 
 
 def wait_for_lines(node) -> dict[str, float]:
-    """Return the seconds that the node wrote to its log."""
+    """Return the seconds that the node logged for the handover's events."""
     deadline = time.monotonic() + WAIT_S
     while time.monotonic() < deadline:
         found = dict(LINE.findall(node.output.read_text()))
@@ -75,7 +77,7 @@
 
 
 def main(runs: int = 3, counts: tuple = COUNTS, paddings: tuple = PADDINGS) -> None:
-    """Print one line for each number in flight, prompt size and run."""
+    """Print one line for each prompt size, number of requests and run."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
     print(f"{builders.os.cpu_count()} cores, Python {sys.version.split()[0]}")
--- a/benchmarks/bench_limits.py
+++ b/benchmarks/bench_limits.py
@@ -1,6 +1,6 @@
-"""What each limit of the decisions is worth: its default against half and double.
+"""Measure the effect of halving and doubling each limit of the scheduling policy.
 
-Prints a table; run by ``make bench-limits``. Loads, seed and model are those of
+``make bench-limits`` prints the table. Loads, seed and model are those of
 ``make bench-decisions``.
 """
 
@@ -18,8 +18,11 @@
 FACTORS = (0.5, 2.0)
 
 
-def changed(limit: str, factor: float) -> Policy | None:
-    """Return the policy with one limit changed; ``None`` if that isn't allowed."""
+def with_scaled_limit(limit: str, factor: float) -> Policy | None:
+    """Return the policy with one limit scaled.
+
+    Returns ``None`` if the value stays the same or is out of the limit's range.
+    """
     default = getattr(Policy(), limit)
     value = type(default)(default * factor)
     if value == default:
@@ -37,14 +40,14 @@
 
 
 def cases() -> list[tuple[str, Policy]]:
-    """Return the policies to run, by name; the default first."""
-    found = [("default", Policy())]
+    """Return the policies to run with their names; the default comes first."""
+    named = [("default", Policy())]
     for limit in PolicySection.model_fields:
         for factor in FACTORS:
-            policy = changed(limit, factor)
+            policy = with_scaled_limit(limit, factor)
             if policy is not None:
-                found.append((f"{limit} = {getattr(policy, limit):g}", policy))
-    return found
+                named.append((f"{limit} = {getattr(policy, limit):g}", policy))
+    return named
 
 
 def row(name: str, outcomes: list[Outcome]) -> str:
@@ -56,7 +59,7 @@
 
 
 def main() -> None:
-    """Run every limit, halved and doubled, on every load."""
+    """Run every load with each limit halved and doubled."""
     named = cases()
     with ProcessPoolExecutor(WORKERS) as pool:
         jobs = [
--- a/benchmarks/bench_membership.py
+++ b/benchmarks/bench_membership.py
@@ -1,7 +1,8 @@
-"""Bytes and processor time that membership costs a node, and how fast news spreads.
+"""Measure the traffic, the processor time and the propagation time of gossip.
 
-Nodes are heartbeat loops over real UDP sockets in one process; the slope gives 370.
-A node alone with 370 members made up shows the same figures without a slope.
+Nodes are gossip loops over UDP sockets in one process; the results are extrapolated
+linearly to `TARGET_NODE_COUNT` nodes. The cost of one node with that many synthetic
+members is also measured directly.
 """
 
 from gevent import monkey
@@ -29,18 +30,18 @@
 from endive_node.telemetry import MonotonicClock  # noqa: E402
 from made_network import Fleet, member  # noqa: E402
 
-SIZES = (8, 32, 64)
-FULL_SIZE = 370
+NODE_COUNTS = (8, 32, 64)
+TARGET_NODE_COUNT = 370
 DATAGRAMS_PER_S = 3.0
 STEADY_S = 10.0
-LIMIT_S = 60.0
-CORE_SHARE, BYTES_PER_S = 0.034, 10_000
-NEWS_TRIES = 3
+SPREAD_TIMEOUT_S = 60.0
+MAX_CORE_SHARE, MAX_BYTES_PER_S = 0.034, 10_000
+OFFSET_UPDATES = 3
 
 
 @dataclass
 class Figures:
-    """What one node spends, and how long news takes."""
+    """Cost of one node, and propagation times in seconds."""
 
     nodes: int
     bytes_per_s: float
@@ -51,7 +52,7 @@
 
 
 def start(count: int) -> list[Gossip]:
-    """Return running loops that know three others each."""
+    """Return running gossip loops with three seeds each."""
     clock = MonotonicClock()
     sockets = [listen_udp("127.0.0.1", 0) for _ in range(count)]
     addresses = [f"127.0.0.1:{udp.getsockname()[1]}" for udp in sockets]
@@ -78,14 +79,14 @@
     """Return the seconds until `condition` holds for all loops."""
     started = time.monotonic()
     while not all(condition(loop) for loop in loops):
-        if time.monotonic() - started > LIMIT_S:
+        if time.monotonic() - started > SPREAD_TIMEOUT_S:
             return float("inf")
         gevent.sleep(0.02)
     return time.monotonic() - started
 
 
 def measure(count: int) -> Figures:
-    """Return the figures of one size."""
+    """Measure `count` nodes."""
     loops = start(count)
     seconds_until(lambda loop: len(loop.members.live()) == count, loops)
     gevent.sleep(5.0)
@@ -94,7 +95,7 @@
     bytes_used = traffic(loops) - bytes_before
     cpu_used = time.process_time() - cpu_before
     suspected = sum(len(loop.members.suspected()) for loop in loops)
-    offset_s = max(spread_offset(loops, offset) for offset in range(NEWS_TRIES))
+    offset_s = max(spread_offset(loops, offset) for offset in range(OFFSET_UPDATES))
     first = loops[0]
     first.members.set_state(MemberState.LEAVING)
     leaving_s = seconds_until(lambda loop: len(loop.members.live()) == count - 1, loops)
@@ -116,15 +117,15 @@
 
 
 def spread_offset(loops: list[Gossip], offset: int) -> float:
-    """Return the seconds until all nodes know one node's new offset."""
+    """Return the seconds until all nodes received one node's new offset."""
     loops[offset].members.set_offset(offset)
     return seconds_until(lambda loop: loop.members.highest_offset >= offset, loops)
 
 
 def measure_alone(count: int) -> tuple[float, float]:
-    """Return bytes and core share a second of a node with `count` members made up.
+    """Return the bytes a second and core share of a node with synthetic members.
 
-    It sends and receives as many datagrams as in a fleet of that size.
+    The node sends and receives as many datagrams as in a cluster of `count` nodes.
     """
     fleet = Fleet(2)
     node, other = fleet.nodes.values()
@@ -136,8 +137,8 @@
     rounds = 60
     used = 0.0
     for number in range(rounds):
-        beaten = [member(n, heartbeat=number + 1) for n in range(count)]
-        other.receive(Digest(member(0), members=beaten))
+        updated = [member(n, heartbeat=number + 1) for n in range(count)]
+        other.receive(Digest(member(0), members=updated))
         incoming = encode_digest(other.digest(), 0.0)
         started = time.process_time()
         node.tick()
@@ -152,29 +153,29 @@
 
 
 def main() -> None:
-    """Print the table, and what it comes to at 370 nodes."""
+    """Print the table and the extrapolation to `TARGET_NODE_COUNT` nodes."""
     heading = "nodes  bytes/s a node  % of a core  offset s  leaving s  suspected"
     print(heading)
-    rows = [measure(count) for count in SIZES]
+    rows = [measure(count) for count in NODE_COUNTS]
     for row in rows:
         print(
             f"{row.nodes:5}{row.bytes_per_s:16.0f}{row.core_share * 100:13.2f}"
             f"{row.offset_s:10.2f}{row.leaving_s:11.2f}{row.suspected:11}"
         )
     for name, values, limit in (
-        ("bytes/s", [row.bytes_per_s for row in rows], BYTES_PER_S),
-        ("core", [row.core_share for row in rows], CORE_SHARE),
+        ("bytes/s", [row.bytes_per_s for row in rows], MAX_BYTES_PER_S),
+        ("core", [row.core_share for row in rows], MAX_CORE_SHARE),
     ):
-        slope = (values[-1] - values[0]) / (SIZES[-1] - SIZES[0])
-        at_full = values[-1] + slope * (FULL_SIZE - SIZES[-1])
+        slope = (values[-1] - values[0]) / (NODE_COUNTS[-1] - NODE_COUNTS[0])
+        extrapolated = values[-1] + slope * (TARGET_NODE_COUNT - NODE_COUNTS[-1])
         print(
-            f"{name}: slope {slope:.6g} a member; by slope at {FULL_SIZE}: "
-            f"{at_full:.5g} (limit {limit}); datagrams are full before that"
+            f"{name}: slope {slope:.6g} a member; by slope at {TARGET_NODE_COUNT}: "
+            f"{extrapolated:.5g} (limit {limit}); datagrams are full before that"
         )
-    bytes_per_s, core_share = measure_alone(FULL_SIZE)
+    bytes_per_s, core_share = measure_alone(TARGET_NODE_COUNT)
     print(
-        f"{FULL_SIZE} members made up, one node alone: {bytes_per_s:.0f} bytes/s, "
-        f"{core_share * 100:.2f} % of a core"
+        f"{TARGET_NODE_COUNT} members made up, one node alone: "
+        f"{bytes_per_s:.0f} bytes/s, {core_share * 100:.2f} % of a core"
     )
 
 
--- a/benchmarks/bench_moves.py
+++ b/benchmarks/bench_moves.py
@@ -1,7 +1,7 @@
-"""Tokens computed again when a server goes in mid-stream, three ways.
+"""Count the tokens recomputed when a server is lost during streams, in three cases.
 
-Moved with a notice of 3 s, resumed by the tokens so far after a kill without notice,
-and the baseline: sent again from nothing, straight to the other server.
+Streams are moved after a notice of 3 s, resumed from the tokens so far after a kill
+without notice, or, as the baseline, restarted without them directly at another server.
 """
 
 import sys
@@ -18,14 +18,15 @@
 from test_moving import PADDING, SLOW, recomputed_after_reclaim  # noqa: E402
 
 STREAMS = 8
-"""What one of two servers holds in the other two cases: 16 streams in all."""
+"""Streams at the killed server. In the other two cases 16 streams are spread over two
+servers, so that one holds as many."""
 
 MAX_TOKENS = 160
 SECONDS_BEFORE_KILL = 2.0
 
 
 class DirectStream(threading.Thread):
-    """A caller without endivestack, who counts the tokens that came."""
+    """A caller that streams directly from a server and counts the tokens received."""
 
     def __init__(self, server: builders.Service, number: int, attempt: int) -> None:
         super().__init__(daemon=True)
@@ -40,7 +41,7 @@
         self.tokens = 0
 
     def run(self) -> None:
-        """Read until the answer ends or the connection breaks."""
+        """Read until the response ends or the connection breaks."""
         answer = builders.call("POST", self.url, self.body, preload_content=False)
         try:
             for data in answer.stream(65536, decode_content=False):
@@ -49,16 +50,16 @@
             pass
 
 
-def from_nothing(folder: Path) -> int:
-    """Return the tokens computed again by a second server that starts from nothing."""
+def measure_restart(folder: Path) -> int:
+    """Return the tokens recomputed by a second server that restarts the streams."""
     cluster = builders.Cluster(folder)
     try:
         first, second = (cluster.engine(f"engine-{i}", **SLOW) for i in range(2))
         for server in (first, second):
             builders.wait_until(server.is_ready, server.name)
-        broken = stream_all(first, attempt=0, kill_after_s=SECONDS_BEFORE_KILL)
+        interrupted = stream_all(first, attempt=0, kill_after_s=SECONDS_BEFORE_KILL)
         stream_all(second, attempt=1)
-        missing = sum(MAX_TOKENS - tokens for tokens in broken)
+        missing = sum(MAX_TOKENS - tokens for tokens in interrupted)
         return second.stats()["computed_tokens"] - missing
     finally:
         cluster.stop()
@@ -67,7 +68,7 @@
 def stream_all(
     server: builders.Service, *, attempt: int, kill_after_s: float | None = None
 ) -> list[int]:
-    """Run the streams to their end, or to the server's; return the tokens of each."""
+    """Run the streams until they end or the server is killed; return their tokens."""
     streams = [DirectStream(server, n, attempt) for n in range(STREAMS)]
     for stream in streams:
         stream.start()
@@ -80,14 +81,14 @@
 
 
 def main() -> None:
-    """Print the tokens computed again in each case."""
+    """Print the recomputed tokens of each case."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         for case in ("moved", "resumed", "nothing"):
             (folder / case).mkdir()
         moved, exported = recomputed_after_reclaim(folder / "moved", 3.0)
         resumed, _ = recomputed_after_reclaim(folder / "resumed", 0)
-        nothing = from_nothing(folder / "nothing")
+        nothing = measure_restart(folder / "nothing")
     print(f"moved with a notice of 3 s:      {moved:6} tokens, {exported:.0f} exports")
     print(f"killed, resumed by the tokens:   {resumed:6} tokens")
     print(f"killed, started from nothing:    {nothing:6} tokens")
--- a/benchmarks/bench_path.py
+++ b/benchmarks/bench_path.py
@@ -1,6 +1,7 @@
-"""The path's own cost: one node before a stand-in that answers at once.
+"""Measure the overhead of the request path: one node before a simulated engine.
 
-Prints calls a second and latency with the node and without it, in one run.
+The engine answers immediately. Prints calls a second and latency with and without the
+node, in one run.
 """
 
 import json
@@ -16,11 +17,11 @@
 
 CLIENT_COUNTS = (1, 16, 64)
 SECONDS = 4.0
-AT_ONCE_TOKENS_PER_S = 1_000_000
+INSTANT_TOKENS_PER_S = 1_000_000
 
 
 def measure(url: str, clients: int) -> dict:
-    """Return the figures of one run of the load tool in its own process."""
+    """Run the load generator in its own process; return its report."""
     done = subprocess.run(
         [
             sys.executable,
@@ -37,7 +38,7 @@
 
 
 def main() -> None:
-    """Run both ways at each number of clients."""
+    """Measure with and without the node at each number of clients."""
     with tempfile.TemporaryDirectory() as folder:
         cluster = builders.Cluster(Path(folder))
         try:
@@ -51,8 +52,8 @@
     cluster.with_log()
     engine = cluster.engine(
         "engine-1",
-        decode_tokens_per_s=AT_ONCE_TOKENS_PER_S,
-        prefill_tokens_per_s=AT_ONCE_TOKENS_PER_S,
+        decode_tokens_per_s=INSTANT_TOKENS_PER_S,
+        prefill_tokens_per_s=INSTANT_TOKENS_PER_S,
         max_batch=1000,
         max_waiting=1000,
     )
--- a/benchmarks/capacity_state.py
+++ b/benchmarks/capacity_state.py
@@ -1,4 +1,4 @@
-"""What control keeps in memory and spends on it, in this process."""
+"""Measure memory and processor time of the control plane's state, in this process."""
 
 import gc
 import os
@@ -28,7 +28,7 @@
 
 
 def service_body(first: int) -> dict:
-    """Return a resource with a hundred servers."""
+    """Return a service of `SERVERS_IN_SERVICE` servers, numbered from `first`."""
     servers = [
         {
             "id": f"engine-{number:04d}",
@@ -46,7 +46,7 @@
     return Change(f"{offset:032x}", body["kind"], body["name"], "ann", body=body)
 
 
-def build(count: int) -> tuple[ConfigurationFold, Catalogue]:
+def build_configuration(count: int) -> tuple[ConfigurationFold, Catalogue]:
     """Return a configuration with `count` servers."""
     fold, catalogue = ConfigurationFold(), Catalogue()
     for first in range(0, count, SERVERS_IN_SERVICE):
@@ -55,8 +55,8 @@
     return fold, catalogue
 
 
-def kept_kb(make: Callable[[], object]) -> float:
-    """Return the memory that what `make` returns takes, in kB."""
+def retained_kb(make: Callable[[], object]) -> float:
+    """Return the memory that the result of `make` occupies, in kB."""
     gc.collect()
     tracemalloc.start()
     kept = make()
@@ -68,29 +68,31 @@
 
 
 def measure_configuration() -> None:
-    """Print what servers and changes cost in state, bytes and time."""
+    """Print the cost of servers and changes in memory, bytes and time."""
     for count in SERVER_COUNTS:
-        memory = kept_kb(lambda count=count: build(count))
-        fold, catalogue = build(count)
+        memory = retained_kb(lambda count=count: build_configuration(count))
+        fold, catalogue = build_configuration(count)
         body = builders.resource("priority", "vip", level=1)
-        each_us = timed_us(lambda b=body, f=fold, c=catalogue: put(f, c, b))
+        change_us = timed_us(lambda b=body, f=fold, c=catalogue: apply_change(f, c, b))
         service = service_body(0)
-        wide_us = timed_us(lambda b=service, f=fold, c=catalogue: put(f, c, b))
+        service_us = timed_us(
+            lambda b=service, f=fold, c=catalogue: apply_change(f, c, b)
+        )
         for _ in range(MAX_OUTCOMES):
             fold.apply(fold.offset + 1, change(fold.offset + 1, body))
         started = time.process_time()
         size = len(encode(fold.snapshot()))
         snapshot_ms = (time.process_time() - started) * 1e3
         print(
-            f"{count:5} servers: {memory:.0f} kB; a change {each_us:.0f} us, of a "
-            f"service with {SERVERS_IN_SERVICE} servers {wide_us:.0f} us; snapshot "
+            f"{count:5} servers: {memory:.0f} kB; a change {change_us:.0f} us, of a "
+            f"service with {SERVERS_IN_SERVICE} servers {service_us:.0f} us; snapshot "
             f"{size} bytes, {snapshot_ms:.0f} ms",
             flush=True,
         )
 
 
 def claim(number: int) -> Claim:
-    """Return a claim of a key of its own; its texts have real lengths."""
+    """Return a claim with a unique key; its fields have realistic lengths."""
     return Claim(
         claim_id=f"{number:032x}",
         key=f"kerloch/{number:032x}",
@@ -100,8 +102,8 @@
     )
 
 
-def claimed(count: int) -> ClaimTable:
-    """Return a table that keeps `count` claims."""
+def claim_table(count: int) -> ClaimTable:
+    """Return a claim table with `count` claims."""
     table = ClaimTable()
     for number in range(count):
         table.apply(number, 0.0, decode(encode(claim(number))))
@@ -109,7 +111,7 @@
 
 
 def measure_memory() -> None:
-    """Print resident memory of the libraries alone, and the state of control."""
+    """Print the resident memory of the libraries, and the memory of a membership."""
     for name, line in LIBRARIES.items():
         code = f"{line}; print(open('/proc/self/statm').read().split()[1])"
         pages = subprocess.run(
@@ -121,18 +123,21 @@
         size = int(pages.stdout) * os.sysconf("SC_PAGE_SIZE") / 1e6
         print(f"{name}: {size:.1f} MB resident")
     for count in MEMBER_COUNTS:
-        print(f"{count:5} members: {kept_kb(lambda c=count: known(c)):.0f} kB")
+        print(
+            f"{count:5} members: "
+            f"{retained_kb(lambda c=count: membership_with(c)):.0f} kB"
+        )
 
 
-def known(count: int):
-    """Return a membership that knows `count` members."""
+def membership_with(count: int):
+    """Return a membership with `count` members."""
     (node,) = Fleet(1).nodes.values()
     node.receive(Digest(member(0), members=[member(n) for n in range(count)]))
     return node
 
 
-def put(fold: ConfigurationFold, catalogue: Catalogue, body: dict) -> None:
-    """Fold one change and take it over."""
+def apply_change(fold: ConfigurationFold, catalogue: Catalogue, body: dict) -> None:
+    """Fold one change and refresh the catalogue."""
     fold.apply(fold.offset + 1, change(fold.offset + 1, body))
     catalogue.refresh(fold)
 
@@ -146,7 +151,7 @@
 
 
 def measure_facts() -> None:
-    """Print what a fact costs."""
+    """Print the processor time of one fact."""
     for count in (100, 1000, 4000):
         table = FactTable(lambda: 0.0)
         started = time.process_time()
--- a/benchmarks/deciders.py
+++ b/benchmarks/deciders.py
@@ -1,4 +1,4 @@
-"""What the load model drives: the scheduler, or a baseline with the same methods."""
+"""Interface of the schedulers that the load model drives, production or baseline."""
 
 from typing import Protocol
 
@@ -8,24 +8,24 @@
 
 
 class Decider(Protocol):
-    """Decides for one node."""
+    """Scheduling decisions of one node."""
 
     def offer(self, call: Call, now: float) -> Ticket | Refusal:
         """Admit or refuse a call."""
 
     def next_dispatch(self, now: float) -> Dispatch | None:
-        """Return what to send next."""
+        """Return the next request to send, or ``None``."""
 
     def started(self, ticket: Ticket, now: float) -> None:
-        """Note a first token."""
+        """Record the first token of a request."""
 
     def finished(self, ticket: Ticket, now: float, *, tokens: int) -> None:
-        """Note a whole answer."""
+        """Record the end of an answer."""
 
     def failed(
         self, ticket: Ticket, now: float, reason: RetryReason, **how
     ) -> Retry | Refusal:
-        """Note a failed attempt."""
+        """Record a failed attempt; return whether to retry."""
 
     def requeue(self, ticket: Ticket) -> None:
         """Queue a failed ticket again."""
@@ -36,15 +36,15 @@
     def report(
         self, server_id: str, running: int, waiting: int, *, as_of: float
     ) -> None:
-        """Take a load report in."""
+        """Record a server's load report."""
 
     def cache_event(
         self, server_id: str, seq: int, *, stored: bool, blocks: list[int]
     ) -> None:
-        """Take a cache event in."""
+        """Record a change of a server's prefix cache."""
 
     def leaving(self, server_id: str) -> None:
-        """Give a server no new work."""
+        """Stop using a server for new work."""
 
     def plan_moves(self, server_id: str, *, seconds_left: float) -> list[StreamMove]:
         """Plan how streams leave a server."""
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,4 +1,4 @@
-"""What one decision costs in time and memory, against servers and queued requests."""
+"""Measure time and memory of one decision by servers and queued requests."""
 
 import time
 import tracemalloc
@@ -17,7 +17,7 @@
 SERVER_COUNTS = (8, 100, 1000, 2600)
 QUEUE_LENGTHS = (10, 1000, 10_000, 100_000)
 ROUNDS = 400
-MOST_TRACED = 10_000
+MAX_TRACED_QUEUE = 10_000
 """Longest queue whose memory is measured: tracing 100,000 calls takes a minute."""
 
 BLOCKS = 100
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Cost:
-    """Medians in microseconds, and kilobytes held."""
+    """Median times in microseconds, and the memory of the queue in kilobytes."""
 
     servers: int
     queued: int
@@ -38,20 +38,20 @@
 
 
 def make_scheduler(servers: int, *, nodes: int) -> Scheduler:
-    """Return a scheduler before `servers` engines."""
-    made = Scheduler.from_policy(Policy(max_bulk_wait_s=1e9), Random(1))
-    made.set_nodes(nodes)
+    """Return a scheduler with `servers` engines."""
+    scheduler = Scheduler.from_policy(Policy(max_bulk_wait_s=1e9), Random(1))
+    scheduler.set_nodes(nodes)
     unlimited = Organisation(tokens_per_s=1e15, max_in_flight=10**12)
-    made.set_organisations({f"o{number}": unlimited for number in range(20)})
-    made.set_servers(
+    scheduler.set_organisations({f"o{number}": unlimited for number in range(20)})
+    scheduler.set_servers(
         ServerView(f"s{n}", "", f"z{n % 10}", "engines", 64, 20_000.0, 50.0)
         for n in range(servers)
     )
-    return made
+    return scheduler
 
 
 def make_call(number: int) -> Call:
-    """Return a bulk call, which is queued however long the queue is."""
+    """Return a bulk call, which is admitted at any queue length."""
     blocks = tuple(hash((number % 50, block)) & (2**63 - 1) for block in range(BLOCKS))
     return Call(
         f"r{number}",
@@ -65,34 +65,36 @@
 
 
 def cost(servers: int, queued: int) -> Cost:
-    """Measure one request's decisions with `queued` others before it."""
-    traced = queued <= MOST_TRACED
+    """Measure the decisions of one request with `queued` requests ahead of it."""
+    traced = queued <= MAX_TRACED_QUEUE
     if traced:
         tracemalloc.start()
-    made = make_scheduler(servers, nodes=max(1, servers // 7))
+    scheduler = make_scheduler(servers, nodes=max(1, servers // 7))
     for number in range(queued):
-        made.offer(make_call(number), 0.0)
+        scheduler.offer(make_call(number), 0.0)
     held = tracemalloc.get_traced_memory()[0]
     if traced:
         tracemalloc.stop()
-    assert len(made.queue) == queued, "calls were refused, so nothing was measured"
+    assert len(scheduler.queue) == queued, "calls were refused, so nothing was measured"
     offers, dispatches, finishes, reports = [], [], [], []
     now = 1.0
     for number in range(ROUNDS):
         call = make_call(queued + number)
         now += 0.001
-        offers.append(_timed(lambda call=call, now=now: made.offer(call, now))[0])
-        spent, dispatch = _timed(lambda now=now: made.next_dispatch(now))
+        offers.append(_timed(lambda call=call, now=now: scheduler.offer(call, now))[0])
+        elapsed_us, dispatch = _timed(lambda now=now: scheduler.next_dispatch(now))
         if dispatch is not None:
-            dispatches.append(spent)
+            dispatches.append(elapsed_us)
             ticket = dispatch.ticket
-            made.started(ticket, now)
+            scheduler.started(ticket, now)
             finishes.append(
-                _timed(lambda t=ticket, now=now: made.finished(t, now, tokens=200))[0]
+                _timed(
+                    lambda t=ticket, now=now: scheduler.finished(t, now, tokens=200)
+                )[0]
             )
         name = f"s{number % servers}"
         reports.append(
-            _timed(lambda n=name, now=now: made.report(n, 40, 0, as_of=now))[0]
+            _timed(lambda n=name, now=now: scheduler.report(n, 40, 0, as_of=now))[0]
         )
     return Cost(
         servers,
@@ -112,27 +114,32 @@
 
 
 def affinity_costs(servers: int) -> tuple[float, float]:
-    """Return microseconds of one look-up by rendezvous hashing and by the ring."""
-    made = make_scheduler(servers, nodes=1)
-    names = list(made.servers.servers)
-    ring = made.placement.ring
+    """Return the microseconds of a look-up by rendezvous hashing and by hash ring."""
+    scheduler = make_scheduler(servers, nodes=1)
+    names = list(scheduler.servers.servers)
+    ring = scheduler.placement.ring
     rendezvous = [
         _timed(lambda n=n: rendezvous_choice(str(n), names))[0] for n in range(50)
     ]
-    looked_up = [_timed(lambda n=n: ring.candidates(str(n), 1))[0] for n in range(50)]
-    return median(rendezvous), median(looked_up)
+    ring_lookups = [
+        _timed(lambda n=n: ring.candidates(str(n), 1))[0] for n in range(50)
+    ]
+    return median(rendezvous), median(ring_lookups)
 
 
 def comparison_ms(servers: int) -> float:
-    """Return milliseconds of one comparison of all servers, every half second."""
-    made = make_scheduler(servers, nodes=1)
-    for server in made.servers.servers.values():
+    """Return the milliseconds of one outlier detection over all servers.
+
+    It runs every half second.
+    """
+    scheduler = make_scheduler(servers, nodes=1)
+    for server in scheduler.servers.servers.values():
         server.samples = 10
-    return _timed(lambda: made.outliers.update_outliers(10.0))[0] / 1000
+    return _timed(lambda: scheduler.outliers.update_outliers(10.0))[0] / 1000
 
 
 def ring_ms(servers: int) -> float:
-    """Return milliseconds of making the ring, when the servers change."""
-    made = make_scheduler(servers, nodes=1)
-    names = list(made.servers.servers)
-    return _timed(lambda: made.placement.set_members(names))[0] / 1000
+    """Return the milliseconds of rebuilding the hash ring when the servers change."""
+    scheduler = make_scheduler(servers, nodes=1)
+    names = list(scheduler.servers.servers)
+    return _timed(lambda: scheduler.placement.set_members(names))[0] / 1000
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,4 @@
-"""A closed-loop load tool: so many clients, each with one call under way."""
+"""Closed-loop load generator: each client has one call in flight."""
 
 from gevent import monkey
 
@@ -18,12 +18,12 @@
 
 @dataclass
 class Load:
-    """One run of the load tool, and what it saw.
+    """One run of the load generator.
 
     Attributes
     ----------
     latency : HdrHistogram
-        Microseconds from sending a call to the last byte of its answer.
+        Microseconds from sending a call to the last byte of its response.
     """
 
     url: str
@@ -37,7 +37,7 @@
     failed: int = 0
 
     def run(self) -> None:
-        """Call until the time is over."""
+        """Run all clients until the time is over."""
         pool = urllib3.PoolManager(maxsize=self.clients, retries=False)
         deadline = time.monotonic() + self.seconds
         clients = [
@@ -78,7 +78,7 @@
     max_tokens: int = 1,
     prompt: str = "ping",
 ) -> None:
-    """Print one line of JSON with the figures of one run."""
+    """Run the load generator and print its report as one line of JSON."""
     body = {"model": "chat", "prompt": prompt, "max_tokens": max_tokens}
     load = Load(url, msgspec.json.encode(body), key, clients, seconds)
     load.run()
--- a/benchmarks/load_jobs.py
+++ b/benchmarks/load_jobs.py
@@ -1,4 +1,4 @@
-"""What the load model is given: a cluster's figures, and the jobs of its callers."""
+"""Inputs of the load model: the cluster's parameters, and the callers' jobs."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -9,7 +9,10 @@
 
 @dataclass(frozen=True)
 class Cluster:
-    """Sizes and delays of one run; defaults near Yunhai's today."""
+    """Sizes and delays of one run.
+
+    The defaults are near those of a small cluster in production.
+    """
 
     nodes: int = 7
     servers: int = 8
@@ -26,7 +29,7 @@
     network_s: float = 0.001
 
     def views(self) -> list[ServerView]:
-        """Return fresh views of all servers, for one node."""
+        """Return new views of all servers for one node."""
         return [
             ServerView(
                 id=f"s{number}",
@@ -43,7 +46,7 @@
 
 @dataclass(eq=False)
 class Job:
-    """One caller's request on its way through the model.
+    """One caller's request and its progress through the model.
 
     Attributes
     ----------
@@ -52,9 +55,9 @@
     answer_blocks : list of int
         Blocks that the answer adds to the conversation.
     node : object
-        The model's node that has it.
-    made : int
-        Tokens the caller has.
+        The node of the model that handles it.
+    delivered_tokens : int
+        Answer tokens that the caller has received.
     imported : bool
         Whether the next attempt starts from an imported KV cache.
     """
@@ -67,9 +70,9 @@
     node: object = None
     ticket: Ticket | None = None
     offered_at: float = 0.0
-    told_s: float | None = None
+    retry_after_s: float | None = None
     offers: int = 0
-    made: int = 0
+    delivered_tokens: int = 0
     attempt: int = 0
     imported: bool = False
     first_token_at: float | None = None
--- a/benchmarks/load_model.py
+++ b/benchmarks/load_model.py
@@ -1,8 +1,8 @@
-"""A load model for the decisions: servers as queues with a rate, a cache and a report.
+"""Event-driven load model: servers are queues with a rate, a prefix cache and reports.
 
-It is no simulator of a cluster: no network, no processes, no engine internals. Events
-run in time order from one heap; the decision objects are the real ones, one for each
-node, and share nothing.
+The model has no network protocol, processes or engine internals. Events run in order of
+time from one heap; the decision objects are the production ones, one for each node, and
+share nothing.
 """
 
 import heapq
@@ -18,12 +18,12 @@
 from endive_core.stream_moves import MoveMethod
 from load_jobs import Cluster, Job
 
-PUMP_S = 0.01
-"""How often a node tries its queue when nothing else makes it, seconds."""
+DISPATCH_INTERVAL_S = 0.01
+"""Interval at which a node tries to dispatch without another event, seconds."""
 
 
 class Model:
-    """The clock, the event heap, and the counts that outcomes are made of."""
+    """The clock, the event heap, and the counters of the outcome."""
 
     def __init__(self, cluster: Cluster, seed: int) -> None:
         self.cluster = cluster
@@ -36,7 +36,7 @@
             for number, view in enumerate(cluster.views())
         }
         self.nodes: list[Node] = []
-        self.computed: set[int] = set()
+        self.computed_blocks: set[int] = set()
         self.recomputed_tokens = 0
         self.wasted_tokens = 0
         self.prefilled_tokens = 0
@@ -44,11 +44,11 @@
         self.jobs: list[Job] = []
 
     def add_nodes(self, make: Callable[[int], Decider]) -> None:
-        """Make each node's decision object with `make`, and start the reports."""
+        """Create the nodes with deciders from `make`, and start the reports."""
         self.nodes = [Node(self, make(i)) for i in range(self.cluster.nodes)]
         for number, node in enumerate(self.nodes):
             self.at(self.cluster.report_every_s * number / 10, node.poll)
-            self.at(PUMP_S * number / 10, node.pump_often)
+            self.at(DISPATCH_INTERVAL_S * number / 10, node.dispatch_periodically)
 
     def at(self, time: float, action: Callable[..., None], *arguments) -> None:
         """Run `action` at `time`."""
@@ -62,7 +62,7 @@
             action(*arguments)
 
     def offer(self, job: Job, *, node: int | None = None) -> None:
-        """Send `job` to a node, by default one that the balancer draws."""
+        """Send `job` to a node, by default to a random one as a load balancer does."""
         if not job.offers:
             self.jobs.append(job)
         number = self.random.randrange(len(self.nodes)) if node is None else node
@@ -70,7 +70,7 @@
 
 
 class Server:
-    """A model engine: slots, one prefill after the other, a prefix cache, reports."""
+    """A model engine: slots, sequential prefills, a prefix cache and load reports."""
 
     def __init__(self, model: Model, view: ServerView, random: Random) -> None:
         self.model = model
@@ -88,7 +88,7 @@
         self.history: list[tuple[float, int, int]] = [(0.0, 0, 0)]
 
     def submit(self, job: Job) -> bool:
-        """Take `job` in; return whether there was room to wait."""
+        """Queue `job`; return whether the queue had room."""
         if self.dead or len(self.waiting) >= self.model.cluster.max_waiting:
             return False
         self.model.sequence += 1
@@ -98,12 +98,12 @@
         return True
 
     def start_waiting(self) -> None:
-        """Fill free slots from the queue, highest priority first."""
+        """Fill free slots from the queue, highest rank first."""
         while self.waiting and len(self.running) < self.model.cluster.slots:
             _, _, job, attempt = heapq.heappop(self.waiting)
             if attempt == job.attempt and job.finished_at is None:
                 self._start(job)
-        self.note()
+        self.record_load()
 
     def _start(self, job: Job) -> None:
         model = self.model
@@ -115,7 +115,7 @@
         model.at(self.prefill_free_at, self._first_token, job, job.attempt, self.epoch)
 
     def _uncached_tokens(self, job: Job) -> int:
-        """Return the tokens to prefill, counted as computed and recomputed."""
+        """Return the tokens to prefill, and count them as computed and recomputed."""
         model = self.model
         blocks = job.call.blocks
         cached = 0
@@ -123,9 +123,11 @@
             self.cache.move_to_end(blocks[cached])
             cached += 1
         missing = blocks[cached:]
-        again = sum(block in model.computed for block in missing) * BLOCK_TOKENS
-        tokens = job.call.prompt_tokens - cached * BLOCK_TOKENS + job.made
-        model.recomputed_tokens += again + job.made
+        recomputed = (
+            sum(block in model.computed_blocks for block in missing) * BLOCK_TOKENS
+        )
+        tokens = job.call.prompt_tokens - cached * BLOCK_TOKENS + job.delivered_tokens
+        model.recomputed_tokens += recomputed + job.delivered_tokens
         model.prefilled_tokens += tokens
         return tokens
 
@@ -139,14 +141,14 @@
         self.store(job.call.blocks)
         self.running[job] = (attempt, model.now)
         model.at(model.now + model.cluster.network_s, job.node.first_token, job)
-        left = job.answer_tokens - job.made
+        left = job.answer_tokens - job.delivered_tokens
         rate = model.cluster.decode_tokens_per_s / self.slow_factor
         model.at(model.now + left / rate, self._finish, job, attempt, epoch)
 
     def _finish(self, job: Job, attempt: int, epoch: int) -> None:
         if not self._alive(job, attempt, epoch):
             return
-        self.model.decoded_tokens += job.answer_tokens - job.made
+        self.model.decoded_tokens += job.answer_tokens - job.delivered_tokens
         del self.running[job]
         self.store(job.answer_blocks)
         self.start_waiting()
@@ -155,35 +157,36 @@
         )
 
     def stop(self, job: Job) -> int:
-        """Stop `job`; return the tokens its caller has by now."""
+        """Stop `job`; return the tokens that its caller has received."""
         _, first_at = self.running.pop(job, (0, None))
         if first_at is None:
-            return job.made
+            return job.delivered_tokens
         rate = self.model.cluster.decode_tokens_per_s / self.slow_factor
         new = min(
-            int((self.model.now - first_at) * rate), job.answer_tokens - job.made - 1
+            int((self.model.now - first_at) * rate),
+            job.answer_tokens - job.delivered_tokens - 1,
         )
         self.model.decoded_tokens += max(0, new)
-        return job.made + max(0, new)
+        return job.delivered_tokens + max(0, new)
 
     def crash(self) -> None:
-        """Die at once; callers' connections break."""
+        """Stop at once; the connections of all jobs break."""
         self.dead = True
         self.epoch += 1
         jobs = list(self.running)
         jobs += [job for _, _, job, a in self.waiting if a == job.attempt]
         self.waiting = []
         for job in jobs:
-            job.made = self.stop(job)
-            job.node.lost(job, RetryReason.SERVER_FAILED)
+            job.delivered_tokens = self.stop(job)
+            job.node.server_lost(job, RetryReason.SERVER_FAILED)
 
     def store(self, blocks: Sequence[int]) -> None:
-        """Put `blocks` into the cache, and publish it, late and with gaps."""
+        """Cache `blocks` and publish the changes, with a delay and with gaps."""
         stored = [block for block in blocks if block not in self.cache]
         for block in blocks:
             self.cache[block] = None
             self.cache.move_to_end(block)
-        self.model.computed.update(blocks)
+        self.model.computed_blocks.update(blocks)
         evicted = []
         while len(self.cache) > self.model.cluster.cache_blocks:
             evicted.append(self.cache.popitem(last=False)[0])
@@ -200,12 +203,12 @@
         for node in self.model.nodes:
             self.model.at(at, node.cache_event, self.id, self.event_seq, stored, blocks)
 
-    def note(self) -> None:
-        """Keep the state for the lagging reports."""
+    def record_load(self) -> None:
+        """Store the current load for delayed reports."""
         self.history.append((self.model.now, len(self.running), len(self.waiting)))
 
     def report(self) -> tuple[float, int, int]:
-        """Return time, running and waiting as they were the lag ago."""
+        """Return time, running and waiting of `report_lag_s` ago."""
         as_of = self.model.now - self.model.cluster.report_lag_s
         if len(self.history) > 5000:
             self.history = self.history[-2500:]
@@ -216,7 +219,7 @@
 
 
 class Node:
-    """One node: its decision object, driven by callers, servers and reports."""
+    """One node: its decider, driven by callers, servers and reports."""
 
     def __init__(self, model: Model, decider: Decider) -> None:
         self.model = model
@@ -224,7 +227,7 @@
         self.jobs: dict[Ticket, Job] = {}
 
     def offer(self, job: Job) -> None:
-        """Take a caller's request in."""
+        """Offer a caller's request to the decider."""
         now = self.model.now
         job.node, job.offered_at = self, now
         job.offers += 1
@@ -235,17 +238,17 @@
             return
         job.ticket = verdict
         self.jobs[verdict] = job
-        self.pump()
+        self.dispatch_queued()
 
-    def pump(self) -> None:
-        """Send what may be sent."""
+    def dispatch_queued(self) -> None:
+        """Send all requests that the decider dispatches."""
         while (dispatch := self.decider.next_dispatch(self.model.now)) is not None:
             self._send(self.jobs[dispatch.ticket], dispatch.server)
 
-    def pump_often(self) -> None:
-        """Pump on a timer, for room that time alone makes."""
-        self.pump()
-        self.model.at(self.model.now + PUMP_S, self.pump_often)
+    def dispatch_periodically(self) -> None:
+        """Dispatch on a timer, as capacity may become free by time alone."""
+        self.dispatch_queued()
+        self.model.at(self.model.now + DISPATCH_INTERVAL_S, self.dispatch_periodically)
 
     def _send(self, job: Job, server_id: str) -> None:
         job.attempt += 1
@@ -263,23 +266,23 @@
             self._failed(job, reason, started=False)
 
     def first_token(self, job: Job) -> None:
-        """Pass the first token on."""
+        """Record the first token."""
         if job.ticket.server:
             self.decider.started(job.ticket, self.model.now)
             if job.first_token_at is None:
                 job.first_token_at = self.model.now
 
     def finish(self, job: Job) -> None:
-        """Pass the end of the answer on."""
+        """Record the end of the answer."""
         job.finished_at = self.model.now
-        job.made = job.answer_tokens
+        job.delivered_tokens = job.answer_tokens
         self.decider.finished(job.ticket, self.model.now, tokens=job.answer_tokens)
         del self.jobs[job.ticket]
         job.done(job)
-        self.pump()
+        self.dispatch_queued()
 
-    def lost(self, job: Job, reason: RetryReason) -> None:
-        """Learn that the server of `job` died."""
+    def server_lost(self, job: Job, reason: RetryReason) -> None:
+        """Handle the loss of the server of `job`."""
         job.imported = False
         self.model.at(
             self.model.now + self.model.cluster.network_s, self._failed, job, reason
@@ -292,57 +295,57 @@
         now = self.model.now
         verdict = self.decider.failed(job.ticket, now, reason, started=started)
         if isinstance(verdict, Retry):
-            self.model.at(now + verdict.delay_s, self._again, job)
+            self.model.at(now + verdict.delay_s, self._requeue, job)
             return
-        self.model.wasted_tokens += job.made + job.call.prompt_tokens
+        self.model.wasted_tokens += job.delivered_tokens + job.call.prompt_tokens
         job.refusals.append(verdict)
         del self.jobs[job.ticket]
         job.done(job)
 
-    def _again(self, job: Job) -> None:
+    def _requeue(self, job: Job) -> None:
         self.decider.requeue(job.ticket)
-        self.pump()
+        self.dispatch_queued()
 
     def poll(self) -> None:
-        """Read all servers' reports."""
+        """Read the load reports of all servers."""
         for server in self.model.servers.values():
             if not server.dead:
                 as_of, running, waiting = server.report()
                 self.decider.report(server.id, running, waiting, as_of=as_of)
-        self.pump()
+        self.dispatch_queued()
         self.model.at(self.model.now + self.model.cluster.report_every_s, self.poll)
 
     def cache_event(
         self, server_id: str, seq: int, stored: bool, blocks: list[int]
     ) -> None:
-        """Pass a cache event on."""
+        """Pass a cache event to the decider."""
         self.decider.cache_event(server_id, seq, stored=stored, blocks=blocks)
 
     def notice(self, server_id: str, seconds: float) -> None:
-        """Learn that a server will be reclaimed; move its streams."""
+        """Handle a reclaim notice for a server; move its streams."""
         self.decider.leaving(server_id)
-        for shift in self.decider.plan_moves(server_id, seconds_left=seconds):
-            if shift.method is MoveMethod.FINISH:
+        for move in self.decider.plan_moves(server_id, seconds_left=seconds):
+            if move.method is MoveMethod.FINISH:
                 continue
-            job = self.jobs[shift.ticket]
-            at = self.model.now + shift.start_delay_s
-            self.model.at(at, self._shift, job, job.attempt, shift.method)
+            job = self.jobs[move.ticket]
+            at = self.model.now + move.start_delay_s
+            self.model.at(at, self._move, job, job.attempt, move.method)
 
-    def _shift(self, job: Job, attempt: int, method: MoveMethod) -> None:
+    def _move(self, job: Job, attempt: int, method: MoveMethod) -> None:
         if job.attempt != attempt or not job.ticket.server:
             return
         server = self.model.servers[job.ticket.server]
         started = server.running.get(job, (0, None))[1] is not None
-        job.made = server.stop(job)
+        job.delivered_tokens = server.stop(job)
         server.start_waiting()
         job.imported = method is MoveMethod.EXPORT and started
         job.attempt += 1
-        self.decider.moved(job.ticket, self.model.now, tokens=job.made)
-        self.pump()
+        self.decider.moved(job.ticket, self.model.now, tokens=job.delivered_tokens)
+        self.dispatch_queued()
 
 
 def reclaim(model: Model, zone: str, seconds: float) -> None:
-    """Give `zone` notice now, and take its servers after `seconds`."""
+    """Give `zone` a reclaim notice now, and stop its servers after `seconds`."""
     for server in model.servers.values():
         if server.zone == zone:
             for node in model.nodes:
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -1,4 +1,4 @@
-"""The loads that the decisions are made for, each with a fixed seed."""
+"""Load scenarios for the scheduler, reproducible by seed."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,18 +7,20 @@
 from endive_core.resources import Weights
 from load_jobs import Cluster
 from load_model import Model, reclaim
-from workloads import Callers, Outcome, StandingBatch, Traffic, outcome
+from workloads import Callers, ConstantBatch, Outcome, Traffic, outcome
 
 ORGANISATIONS = ("yunhai", "dadao", "tamsui", "kerloch", "armor")
 CALLS_PER_S = 8 * 32 / 4.0
-"""Calls of 200 answer tokens that the default cluster can run a second."""
+"""Capacity of the default cluster, calls of 200 answer tokens a second: 8 servers of 32
+slots, 4 s a call."""
 
-BATCH_OVER_CAPACITY = 20
+BATCH_SIZE_FACTOR = 20
+"""Size of a constant batch, as a multiple of the cluster's slots."""
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """One load: how to set it up, and which part of the run counts."""
+    """One load: its set-up, and the measured interval of the run in seconds."""
 
     name: str
     set_up: Callable[[Model, int], None]
@@ -30,7 +32,7 @@
 def run(
     scenario: Scenario, make: Callable[[Model, int], Decider], seed: int
 ) -> Outcome:
-    """Run `scenario` against fresh decision objects; the same seed, the same run."""
+    """Run `scenario` with new deciders; the run is determined by `seed`."""
     model = Model(scenario.cluster, seed)
     model.add_nodes(lambda number: make(model, number))
     scenario.set_up(model, seed)
@@ -38,8 +40,8 @@
     return outcome(model, start=scenario.start, end=scenario.end)
 
 
-def spread(model: Model, seed: int, load: float, **changes) -> None:
-    """Start conversations of all organisations at `load` of capacity, unequal parts."""
+def start_conversations(model: Model, seed: int, load: float, **changes) -> None:
+    """Start conversations of all organisations, unequally, at `load` of capacity."""
     parts = (0.4, 0.25, 0.15, 0.12, 0.08)
     for number, (name, part) in enumerate(zip(ORGANISATIONS, parts, strict=True)):
         traffic = Traffic(name, CALLS_PER_S * load * part, **changes)
@@ -47,25 +49,25 @@
 
 
 def steady(model: Model, seed: int) -> None:
-    """Conversations at 70% of capacity; prefixes of very unequal popularity."""
-    spread(model, seed, 0.7)
+    """Run conversations at 70% of capacity; prefixes are of very unequal popularity."""
+    start_conversations(model, seed, 0.7)
 
 
 def burst(model: Model, seed: int) -> None:
-    """40% of capacity, and at 15 s one organisation sends 4,000 interactive calls."""
-    spread(model, seed, 0.4)
-    _batch(model, seed, 4000, node=None)
+    """Run at 40% of capacity; at 15 s an organisation sends 4,000 interactive calls."""
+    start_conversations(model, seed, 0.4)
+    _send_batch(model, seed, 4000, node=None)
 
 
 def burst_one_node(model: Model, seed: int) -> None:
-    """Send the same burst over connections that all end at one node."""
-    spread(model, seed, 0.4)
-    _batch(model, seed, 4000, node=0)
+    """Send the same burst to one node."""
+    start_conversations(model, seed, 0.4)
+    _send_batch(model, seed, 4000, node=0)
 
 
-def _batch(model: Model, seed: int, size: int, node: int | None) -> None:
+def _send_batch(model: Model, seed: int, size: int, node: int | None) -> None:
     traffic = Traffic(
-        "broker", 1.0, start=15.0, turn_tokens=(300, 700), again=0, node=node
+        "broker", 1.0, start=15.0, turn_tokens=(300, 700), follow_up_share=0, node=node
     )
     callers = Callers(model, traffic, seed + 7)
     for _ in range(size):
@@ -73,37 +75,39 @@
 
 
 def saturation(model: Model, seed: int) -> None:
-    """Stand a bulk batch of 20 times the slots; others call at 40% of capacity."""
-    spread(model, seed, 0.4)
-    traffic = Traffic("broker", 1.0, turn_tokens=(300, 700), again=0, bulk=True)
-    size = BATCH_OVER_CAPACITY * model.cluster.servers * model.cluster.slots
-    StandingBatch(model, traffic, size, seed + 7).start()
+    """Keep a bulk batch of 20 times the slots queued, beside 40% of capacity."""
+    start_conversations(model, seed, 0.4)
+    traffic = Traffic(
+        "broker", 1.0, turn_tokens=(300, 700), follow_up_share=0, bulk=True
+    )
+    size = BATCH_SIZE_FACTOR * model.cluster.servers * model.cluster.slots
+    ConstantBatch(model, traffic, size, seed + 7).start()
 
 
 def saturation_same_priority(model: Model, seed: int) -> None:
-    """Stand the same batch, not marked as bulk, so that refused calls come back."""
-    spread(model, seed, 0.4)
-    traffic = Traffic("broker", 1.0, turn_tokens=(300, 700), again=0)
-    size = BATCH_OVER_CAPACITY * model.cluster.servers * model.cluster.slots
-    StandingBatch(model, traffic, size, seed + 7).start()
+    """Keep the same batch queued without the bulk flag; refused calls are retried."""
+    start_conversations(model, seed, 0.4)
+    traffic = Traffic("broker", 1.0, turn_tokens=(300, 700), follow_up_share=0)
+    size = BATCH_SIZE_FACTOR * model.cluster.servers * model.cluster.slots
+    ConstantBatch(model, traffic, size, seed + 7).start()
 
 
 def overload(model: Model, seed: int) -> None:
-    """All organisations together call at 150% of capacity, unequally."""
-    spread(model, seed, 1.5)
+    """Run at 150% of capacity, unequally divided between organisations."""
+    start_conversations(model, seed, 1.5)
 
 
 def slow_server(model: Model, seed: int) -> None:
-    """60% of capacity, and one server is four times slower from 15 s to 45 s."""
-    spread(model, seed, 0.6)
+    """Run at 60% of capacity; one server is four times slower from 15 s to 45 s."""
+    start_conversations(model, seed, 0.6)
     server = model.servers["s3"]
     model.at(15.0, lambda: setattr(server, "slow_factor", 4.0))
     model.at(45.0, lambda: setattr(server, "slow_factor", 1.0))
 
 
 def mixed(model: Model, seed: int) -> None:
-    """Short replies and long drafts together, at 80% of capacity."""
-    spread(model, seed, 0.3, answer_tokens=(20, 60))
+    """Mix short and long answers, at 80% of capacity."""
+    start_conversations(model, seed, 0.3, answer_tokens=(20, 60))
     for number, name in enumerate(("yunhai", "kerloch")):
         traffic = Traffic(
             name,
@@ -117,9 +121,9 @@
 
 
 def zone_gone(model: Model, seed: int) -> None:
-    """25% of capacity; at 20 s a zone dies, and a second has 5 s of notice."""
+    """Run at 25% of capacity; at 20 s one zone fails and another gets 5 s of notice."""
     weights = Weights(wait=1, recompute=4)
-    spread(model, seed, 0.18, weights=weights)
+    start_conversations(model, seed, 0.18, weights=weights)
     traffic = Traffic("kerloch", 2.0, answer_tokens=(400, 800), weights=weights)
     Callers(model, traffic, seed + 3).start()
     model.at(20.0, lambda: reclaim(model, "z0", 0.0))
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -1,8 +1,8 @@
-"""A source and a sink of token streams, each a process that does little else.
+"""A source and a sink of token streams with little overhead, for separate processes.
 
-``python streams.py source --port P`` answers every call as a model engine does, at a
-set pace; ``python streams.py sink --url U`` reads many answers at once and prints one
-line of JSON.
+``python streams.py source --port P`` responds to every call as a model engine does, at
+a fixed rate; ``python streams.py sink --url U`` reads many streams concurrently and
+prints one line of JSON.
 """
 
 from gevent import monkey
@@ -26,16 +26,16 @@
 JSON_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 READ_BYTES = 65_536
 DONE = b"data: [DONE]"
-NEVER_ENDS = 1_000_000
+MAX_TOKENS = 1_000_000
 
 
 def source(port: int, tokens_per_s: float = 50.0, per_write: int = 1) -> None:
-    """Answer calls with streams of `tokens_per_s`, `per_write` tokens a write."""
+    """Serve streams of `tokens_per_s`, with `per_write` tokens in each write."""
     pause_s = per_write / tokens_per_s
 
     def serve(connection: socket.socket, _address) -> None:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        body = read_call(connection)
+        body = read_request_body(connection)
         if not body:
             load = b'{"running":0,"waiting":0,"cached_blocks":0,"capacity":1000}'
             length = b"Content-Length: %d\r\n\r\n" % len(load)
@@ -44,7 +44,7 @@
         call = msgspec.json.decode(body)
         connection.sendall(HEAD)
         due, index = time.monotonic(), 0
-        stop = min(call.get("max_tokens", 1), NEVER_ENDS)
+        stop = min(call.get("max_tokens", 1), MAX_TOKENS)
         try:
             while index < stop:
                 count = min(per_write, stop - index)
@@ -63,8 +63,8 @@
     StreamServer(("127.0.0.1", port), serve, backlog=1024).serve_forever()
 
 
-def read_call(connection: socket.socket) -> bytes:
-    """Return the body of the one call that `connection` brings."""
+def read_request_body(connection: socket.socket) -> bytes:
+    """Return the body of the single request on `connection`."""
     data = b""
     while b"\r\n\r\n" not in data:
         data += connection.recv(READ_BYTES)
@@ -79,7 +79,7 @@
 
 
 def event(call: dict, index: int, stop: int) -> bytes:
-    """Return an engine's event of one token."""
+    """Return an engine's server-sent event of one token."""
     reason = b'"length"' if index == stop - 1 else b"null"
     return (
         b'data: {"id":"%s","attempt":%d,"index":%d,"choices":[{"index":0,'
@@ -89,9 +89,9 @@
 
 
 def sink(url: str, streams: int, seconds: float, key: str = "demo") -> None:
-    """Read `streams` answers at once for `seconds`; print tokens and gaps."""
+    """Read `streams` streams concurrently for `seconds`; print token rate and gaps."""
     gaps = HdrHistogram(1, 60_000_000, 3)
-    counted = [0]
+    token_count = [0]
     started = time.monotonic()
     measured_from, until = started + 2.0, started + 2.0 + seconds
 
@@ -112,7 +112,7 @@
             now = time.monotonic()
             count = data.count(b"data: ")
             if now >= measured_from and count:
-                counted[0] += count
+                token_count[0] += count
                 if last is not None:
                     gaps.record_value(max(1, int((now - last) * 1e6)))
             last = now if count else last
@@ -123,7 +123,7 @@
         gevent.sleep(0.002)
     gevent.sleep(until - time.monotonic() + 0.2)
     report = {
-        "tokens_per_s": counted[0] / seconds,
+        "tokens_per_s": token_count[0] / seconds,
         "gap_p50_ms": gaps.get_value_at_percentile(50) / 1000,
         "gap_p95_ms": gaps.get_value_at_percentile(95) / 1000,
     }
--- a/benchmarks/workloads.py
+++ b/benchmarks/workloads.py
@@ -1,4 +1,4 @@
-"""Callers of the load model: conversations, batches, and what they get."""
+"""Callers of the load model: conversations, batches, and their outcomes."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -11,24 +11,24 @@
 from load_jobs import Job
 from load_model import Model
 
-MAX_RETURNS = 5
-"""How often a refused caller comes back before it gives up."""
+MAX_RETRIES = 5
+"""How often a refused call is retried before its caller gives up."""
 
 
 @dataclass(frozen=True)
 class Traffic:
-    """Calls of one organisation, arriving at random at a mean rate.
+    """Calls of one organisation, a Poisson process of `rate` calls a second.
 
     Attributes
     ----------
     system_tokens : int
         Prompt tokens that all calls of the organisation share.
     turn_tokens, answer_tokens : tuple of int
-        Bounds of what one call adds to its conversation, and of its answer.
-    again : float
-        Part of the calls that go on with a conversation.
+        Bounds of the tokens that one call adds to its conversation, and of its answer.
+    follow_up_share : float
+        Fraction of the calls that continue a conversation.
     node : int or None
-        The one node that gets all calls, if the balancer is uneven.
+        The node that receives all calls; ``None`` for a random node each time.
     """
 
     organisation: str
@@ -38,7 +38,7 @@
     system_tokens: int = 512
     turn_tokens: tuple[int, int] = (60, 180)
     answer_tokens: tuple[int, int] = (100, 300)
-    again: float = 0.75
+    follow_up_share: float = 0.75
     max_turns: int = 10
     level: int = 0
     bulk: bool = False
@@ -49,7 +49,7 @@
 
 @dataclass
 class Conversation:
-    """The prompt so far, as blocks."""
+    """A conversation's prompt so far, as blocks."""
 
     name: str
     blocks: list[int]
@@ -57,7 +57,7 @@
     turns: int = 0
 
     def extend(self, tokens: int) -> list[int]:
-        """Add `tokens`; return the whole blocks that this completes."""
+        """Add `tokens`; return the blocks that this completes."""
         self.tokens += tokens
         new = [
             rendezvous_score(self.name, str(number))
@@ -68,14 +68,14 @@
 
 
 class Callers:
-    """Sends the calls of one :class:`Traffic` into a model."""
+    """Sends the calls of one :class:`Traffic` to a model."""
 
     def __init__(self, model: Model, traffic: Traffic, seed: int) -> None:
         self.model = model
         self.traffic = traffic
         self.random = Random(seed)
         self.idle: deque[Conversation] = deque()
-        self.made = 0
+        self.call_count = 0
 
     def start(self) -> None:
         """Schedule the first call."""
@@ -97,11 +97,11 @@
         conversation.extend(self.random.randint(*traffic.turn_tokens))
         conversation.turns += 1
         answer = self.random.randint(*traffic.answer_tokens)
-        self.made += 1
+        self.call_count += 1
         call = Call(
-            request_id=f"{traffic.organisation}-{self.made}",
+            request_id=f"{traffic.organisation}-{self.call_count}",
             organisation=traffic.organisation,
-            fingerprint=f"{traffic.organisation}-{self.made}",
+            fingerprint=f"{traffic.organisation}-{self.call_count}",
             level=traffic.level,
             bulk=traffic.bulk,
             prompt_tokens=conversation.tokens,
@@ -121,10 +121,10 @@
         self.model.offer(job, node=traffic.node)
 
     def _conversation(self) -> Conversation:
-        if self.idle and self.random.random() < self.traffic.again:
+        if self.idle and self.random.random() < self.traffic.follow_up_share:
             return self.idle.popleft()
         traffic = self.traffic
-        name = f"{traffic.organisation}.{self.made}"
+        name = f"{traffic.organisation}.{self.call_count}"
         shared = traffic.system_tokens // BLOCK_TOKENS
         blocks = [
             rendezvous_score(traffic.organisation, str(number))
@@ -137,16 +137,16 @@
             if conversation.turns < self.traffic.max_turns:
                 self.idle.append(conversation)
             return
-        told = job.refusals[-1].retry_after_s
-        if told is not None and job.offers <= MAX_RETURNS:
+        retry_after_s = job.refusals[-1].retry_after_s
+        if retry_after_s is not None and job.offers <= MAX_RETRIES:
             self.model.at(
-                self.model.now + told,
+                self.model.now + retry_after_s,
                 lambda: self.model.offer(job, node=self.traffic.node),
             )
 
 
-class StandingBatch:
-    """A batch that stays as long as it was: each answer is followed by a new call."""
+class ConstantBatch:
+    """A batch of constant size: each answered call is replaced by a new one."""
 
     def __init__(self, model: Model, traffic: Traffic, size: int, seed: int) -> None:
         self.callers = Callers(model, traffic, seed)
@@ -163,33 +163,37 @@
         if job.finished_at is not None:
             self.callers.send()
             return
-        told = job.refusals[-1].retry_after_s
+        retry_after_s = job.refusals[-1].retry_after_s
         self.model.at(
-            self.model.now + (told or 1.0),
+            self.model.now + (retry_after_s or 1.0),
             lambda: self.model.offer(job, node=self.callers.traffic.node),
         )
 
 
 @dataclass
 class Outcome:
-    """What callers and operators got out of one run.
+    """Results of one run for callers and operators.
 
     Attributes
     ----------
     within : float
-        Part of the admitted interactive calls with the first token within target.
+        Fraction of the admitted interactive calls with the first token within target.
     within_worst : float
-        The same for the organisation that fared worst.
+        The same for the organisation and priority with the lowest fraction.
     refused, gave_up : int
-        Interactive offers refused, and calls whose callers came back in vain until
-        they gave up or the run ended.
+        Refused offers of interactive calls, and calls that were never admitted before
+        their callers gave up or the run ended.
     honest : float
-        Part of the returns at the time told that were then admitted.
+        Admitted calls among those retried, over the number of retries; retries come
+        after the retry-after time of the refusal.
+    returns : int
+        Number of retries of refused calls.
     goodput : float
-        Tokens of good answers over what all slots could decode.
+        Tokens of good answers over the decode capacity of all slots. An answer is good
+        if its call is bulk or its first token came within target.
     recomputed, wasted : int
-        Prompt tokens computed that some server had computed before; tokens spent on
-        calls without an answer.
+        Prefilled tokens that some server had computed before; tokens spent on calls
+        without an answer.
     server_s : float
         Server-seconds for each good answer.
     shares : dict
@@ -214,22 +218,24 @@
 
 
 def outcome(model: Model, *, start: float, end: float) -> Outcome:
-    """Sum up the calls offered, and the answers finished, between `start` and `end`."""
-    target = [j for j in model.jobs if not j.call.bulk]
-    judged = [
-        j for j in target if start <= j.first_offered_at < end and j.ticket is not None
+    """Summarise calls offered and answers finished between `start` and `end`."""
+    interactive = [j for j in model.jobs if not j.call.bulk]
+    measured = [
+        j
+        for j in interactive
+        if start <= j.first_offered_at < end and j.ticket is not None
     ]
     by_class: dict[tuple[str, int], list[bool]] = {}
-    for job in judged:
+    for job in measured:
         key = (job.call.organisation, job.call.level)
-        by_class.setdefault(key, []).append(_on_time(job))
+        by_class.setdefault(key, []).append(_within_target(job))
     parts = {key: sum(values) / len(values) for key, values in by_class.items()}
     good = [
         j
         for j in model.jobs
         if j.finished_at is not None
         and start <= j.finished_at < end
-        and (j.call.bulk or _on_time(j))
+        and (j.call.bulk or _within_target(j))
     ]
     cluster = model.cluster
     capacity = cluster.servers * cluster.slots * cluster.decode_tokens_per_s
@@ -241,17 +247,17 @@
             offered[name] = offered.get(name, 0) + job.answer_tokens
         if job.finished_at is not None and start <= job.finished_at < end:
             shares[name] = shares.get(name, 0) + job.answer_tokens
-    returned = [j for j in target if j.offers > 1]
-    returns = sum(j.offers - 1 for j in returned)
-    admitted = sum(j.ticket is not None for j in returned)
-    waits = sorted((j.first_token_at or 1e9) - j.offered_at for j in judged)
+    retried = [j for j in interactive if j.offers > 1]
+    returns = sum(j.offers - 1 for j in retried)
+    admitted = sum(j.ticket is not None for j in retried)
+    waits = sorted((j.first_token_at or 1e9) - j.offered_at for j in measured)
     alive = sum(not server.dead for server in model.servers.values())
     return Outcome(
-        within=sum(_on_time(j) for j in judged) / max(1, len(judged)),
+        within=sum(_within_target(j) for j in measured) / max(1, len(measured)),
         within_worst=min(parts.values(), default=0.0),
         p95_s=waits[int(len(waits) * 0.95)] if waits else 0.0,
-        refused=sum(len(j.refusals) for j in target),
-        gave_up=sum(j.ticket is None for j in target),
+        refused=sum(len(j.refusals) for j in interactive),
+        gave_up=sum(j.ticket is None for j in interactive),
         honest=admitted / returns if returns else 1.0,
         returns=returns,
         goodput=sum(j.answer_tokens for j in good) / (capacity * (end - start)),
@@ -265,14 +271,14 @@
     )
 
 
-def _on_time(job: Job) -> bool:
+def _within_target(job: Job) -> bool:
     if job.first_token_at is None:
         return False
     return job.first_token_at - job.offered_at <= job.call.target_s
 
 
 def max_min_shares(offered: dict[str, float], capacity: float) -> dict[str, float]:
-    """Return each organisation's fair part of `capacity`: no more than it offered."""
+    """Return each organisation's max-min fair share of `capacity`."""
     fair: dict[str, float] = {}
     left = dict(offered)
     while left:
--- a/spec/configuration.py
+++ b/spec/configuration.py
@@ -179,7 +179,7 @@
         }
 
     def goal(self, state: dict[str, Any]) -> bool:
-        """Return whether all nodes folded the whole log and all outcomes are reported."""
+        """Return whether all nodes folded the whole log and all outcomes were sent."""
         last = len(state["log"]) - 1
         return all(writer.reported for writer in state["writers"]) and all(
             node.state and decode_fold(node.state).offset == last
