--- a/benchmarks/experiments/report.py
+++ b/benchmarks/experiments/report.py
@@ -65,9 +65,11 @@
         lost[name] = 1 - len(ok) / max(1, len(ended))
         first_token_times = sorted(end.first_s for end in ok) or [0.0]
         p99[name] = first_token_times[int(0.99 * (len(first_token_times) - 1))]
-    read_again = result.read_again / max(1.0, result.read)
+    avoidable_share = result.read_again / max(1.0, result.read)
     servers = SERVER_PRICE * result.servers_s / requested_worth
-    return Figures(served_worth / requested_worth, servers, read_again, late, lost, p99)
+    return Figures(
+        served_worth / requested_worth, servers, avoidable_share, late, lost, p99
+    )
 
 
 def table(plays: Mapping[str, Sequence[Figures]]) -> str:
--- a/benchmarks/workloads.py
+++ b/benchmarks/workloads.py
@@ -137,10 +137,10 @@
             if conversation.turns < self.traffic.max_turns:
                 self.idle.append(conversation)
             return
-        retry_after_s = job.refusals[-1].retry_after_s
-        if retry_after_s is not None and job.offers <= MAX_RETRIES:
+        delay_s = job.refusals[-1].retry_after_s
+        if delay_s is not None and job.offers <= MAX_RETRIES:
             self.model.at(
-                self.model.now + retry_after_s,
+                self.model.now + delay_s,
                 lambda: self.model.offer(job, node=self.traffic.node),
             )
 
@@ -163,9 +163,9 @@
         if job.finished_at is not None:
             self.callers.send()
             return
-        retry_after_s = job.refusals[-1].retry_after_s
+        delay_s = job.refusals[-1].retry_after_s
         self.model.at(
-            self.model.now + (retry_after_s or 1.0),
+            self.model.now + (delay_s or 1.0),
             lambda: self.model.offer(job, node=self.callers.traffic.node),
         )
 
