--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -1,8 +1,8 @@
 """Measurements of a node's cost by load, from which docs/CAPACITY.md extrapolates.
 
-Most are taken at three sizes or more. Streams, whole requests, idle nodes and
-configuration changes run against node processes; the rest runs the node's objects in
-this process.
+Most are taken at three sizes or more. Streams go through one node process between a
+source and a sink process; unary requests, idle nodes and configuration changes use node
+processes too. The rest runs the node's objects in this process.
 """
 
 import json
@@ -312,7 +312,7 @@
         with_node(per_write, measure_streams)
     print("\nWhole requests of one token")
     with_node(1, measure_requests)
-    print("\nMembers (a node alone with made-up members, 3 datagrams/s each way)")
+    print("\nMembers (one node with synthetic members, 3 datagrams/s each way)")
     for count in MEMBER_COUNTS:
         bytes_per_s, share = measure_alone(count)
         print(f"{count:5} members: {bytes_per_s:.0f} bytes/s, {share * 100:.2f} %")
@@ -322,13 +322,13 @@
     measure_facts()
     print("\nMemory")
     measure_memory()
-    print("\nClaims (one shard's writer in this process, the log's stand-in)")
+    print("\nClaims (one shard's writer in this process, simulated log)")
     measure_claims()
     print("\nA node without callers, by servers whose load it reads")
     measure_idle()
     print("\nA change in force (nodes in processes of their own)")
     measure_in_force()
-    print("\nThe log's followers (the stand-in, readers in one process)")
+    print("\nFollowers of the log (simulated log, readers in one process)")
     measure_followers()
 
 
--- a/benchmarks/bench_decisions.py
+++ b/benchmarks/bench_decisions.py
@@ -35,20 +35,20 @@
     model: Model, number: int, policy: Policy | None = None
 ) -> Scheduler:
     """Return the production scheduler for one node."""
-    made = Scheduler.from_policy(policy or Policy(), Random(1000 + number))
-    made.set_servers(model.cluster.views())
-    made.set_nodes(model.cluster.nodes)
-    made.set_organisations(
+    scheduler = Scheduler.from_policy(policy or Policy(), Random(1000 + number))
+    scheduler.set_servers(model.cluster.views())
+    scheduler.set_nodes(model.cluster.nodes)
+    scheduler.set_organisations(
         {name: Organisation() for name in (*ORGANISATIONS, "broker")}
     )
-    return made
+    return scheduler
 
 
 def make_baseline(kind, model: Model, number: int):
     """Return a baseline scheduler of class `kind` for one node."""
-    made = kind(model.cluster.views(), Random(1000 + number))
-    made.nodes = model.cluster.nodes
-    return made
+    baseline = kind(model.cluster.views(), Random(1000 + number))
+    baseline.nodes = model.cluster.nodes
+    return baseline
 
 
 BASELINES = {
--- a/benchmarks/bench_membership.py
+++ b/benchmarks/bench_membership.py
@@ -129,10 +129,10 @@
     """
     fleet = Fleet(2)
     node, other = fleet.nodes.values()
-    for part in (node, other):
-        part.receive(Digest(member(0), members=[member(n) for n in range(count)]))
+    for membership in (node, other):
+        membership.receive(Digest(member(0), members=[member(n) for n in range(count)]))
     for _ in range(20):
-        part.digest(), other.digest()
+        membership.digest(), other.digest()
     sent = received = 0
     rounds = 60
     used = 0.0
@@ -174,7 +174,7 @@
         )
     bytes_per_s, core_share = measure_alone(TARGET_NODE_COUNT)
     print(
-        f"{TARGET_NODE_COUNT} members made up, one node alone: "
+        f"{TARGET_NODE_COUNT} synthetic members, one node: "
         f"{bytes_per_s:.0f} bytes/s, {core_share * 100:.2f} % of a core"
     )
 
--- a/benchmarks/experiments/__main__.py
+++ b/benchmarks/experiments/__main__.py
@@ -53,15 +53,15 @@
     jobs = [(file, name, seed) for name in names for seed in range(1, seeds + 1)]
     with ProcessPoolExecutor(WORKERS) as pool:
         found = list(pool.map(run_job, jobs))
-    plays = {name: [] for name in names}
+    results = {name: [] for name in names}
     for (_, name, _), figures in zip(jobs, found, strict=True):
-        plays[name].append(figures)
-    markdown = table(plays)
+        results[name].append(figures)
+    markdown = table(results)
     print(markdown)
     if page:
         Path(page).write_text(markdown + "\n")
     if picture:
-        plot(plays, Path(picture))
+        plot(results, Path(picture))
 
 
 def run_job(job: tuple[str, str, int]) -> Figures:
--- a/benchmarks/experiments/deployment.py
+++ b/benchmarks/experiments/deployment.py
@@ -25,7 +25,8 @@
     chunk : int
         Maximum number of prompt tokens prefilled in one step.
     memory_tokens : int
-        Capacity of the prefix cache, tokens.
+        Capacity of an engine's KV cache, tokens. Running requests and cached prompts
+        share it in an engine; the simulation counts cached prompts only.
     start_s : float
         Time from an autoscaling order until the engine is ready, seconds.
     reclaimable_price : float
@@ -91,7 +92,8 @@
     notice_s : float
         Time from the notice until the engines are removed, seconds.
     refused_s : float
-        Time from the notice in which the zone has no reclaimable engines, seconds.
+        Time from the notice in which the zone grants no new reclaimable engines,
+        seconds.
     """
 
     at_s: list[float]
--- a/benchmarks/experiments/report.py
+++ b/benchmarks/experiments/report.py
@@ -9,8 +9,8 @@
 from experiments.play import Result
 
 SERVER_PRICE = 3.2
-"""Price of one second of an on-demand engine, in the unit of the requests' worth. It is
-the price that the users of the system pay."""
+"""Price of one second of an on-demand engine, in the unit of the requests' worth: the
+price in the users' price lists."""
 
 LATE_WORTH_SHARE = 0.1
 """Worth of a request answered after its target, as a fraction of one in time."""
@@ -72,7 +72,7 @@
     )
 
 
-def table(plays: Mapping[str, Sequence[Figures]]) -> str:
+def table(results: Mapping[str, Sequence[Figures]]) -> str:
     """Return a Markdown table; differences are paired with the first policy.
 
     Parameters
@@ -80,12 +80,12 @@
     plays : mapping of str to sequence of Figures
         For each policy one summary a seed, in the same order of seeds.
     """
-    first = next(iter(plays.values()))
+    first = next(iter(results.values()))
     kinds = list(first[0].late)
     head = ["policy", "worth", "difference", "served", "engines", "read again"]
     head += [f"{kind} late, p99 s" for kind in kinds]
     lines = ["| " + " | ".join(head) + " |", "| --- " * len(head) + "|"]
-    for name, found in plays.items():
+    for name, found in results.items():
         row = [
             name,
             f"{_mean(f.worth for f in found):.3f}",
@@ -102,18 +102,18 @@
     return "\n".join(lines)
 
 
-def plot(plays: Mapping[str, Sequence[Figures]], path: Path) -> None:
+def plot(results: Mapping[str, Sequence[Figures]], path: Path) -> None:
     """Plot each policy's worth by seed, minus the first policy's."""
     from matplotlib.figure import Figure
 
-    first = next(iter(plays.values()))
-    figure = Figure(figsize=(7, 0.6 + 0.4 * len(plays)))
+    first = next(iter(results.values()))
+    figure = Figure(figsize=(7, 0.6 + 0.4 * len(results)))
     axes = figure.subplots()
-    for row, found in enumerate(plays.values()):
+    for row, found in enumerate(results.values()):
         differences = _differences(found, first)
         axes.plot(differences, [row] * len(differences), "o", alpha=0.5)
         axes.plot([statistics.mean(differences)], [row], "k|", markersize=18)
-    axes.set_yticks(range(len(plays)), list(plays))
+    axes.set_yticks(range(len(results)), list(results))
     axes.axvline(0.0, color="grey", linewidth=0.8)
     axes.set_xlabel("difference in worth to the first policy, a point a seed")
     figure.tight_layout()
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -60,7 +60,7 @@
 
 
 def burst_one_node(model: Model, seed: int) -> None:
-    """Send the same burst to one node."""
+    """Send the same burst over connections that all lead to one node."""
     start_conversations(model, seed, 0.4)
     _send_batch(model, seed, 4000, node=0)
 
--- a/benchmarks/workloads.py
+++ b/benchmarks/workloads.py
@@ -28,7 +28,8 @@
     follow_up_share : float
         Fraction of the calls that continue a conversation.
     node : int or None
-        The node that receives all calls; ``None`` for a random node each time.
+        The node that receives all calls, for a load balancer that is uneven; ``None``
+        for a random node each time.
     """
 
     organisation: str
@@ -57,7 +58,7 @@
     turns: int = 0
 
     def extend(self, tokens: int) -> list[int]:
-        """Add `tokens`; return the blocks that this completes."""
+        """Add `tokens`; return the blocks that become complete."""
         self.tokens += tokens
         new = [
             rendezvous_score(self.name, str(number))
@@ -278,7 +279,7 @@
 
 
 def max_min_shares(offered: dict[str, float], capacity: float) -> dict[str, float]:
-    """Return each organisation's max-min fair share of `capacity`."""
+    """Return each organisation's max-min fair share, at most its offer."""
     fair: dict[str, float] = {}
     left = dict(offered)
     while left:
--- a/spec/configuration.py
+++ b/spec/configuration.py
@@ -174,7 +174,7 @@
         return {
             "nodes agree": nodes_agree,
             "never back to an older one": never_regresses,
-            "told what the log decided": told_what_the_log_decided,
+            "told what the log decided": reports_match_log,
             "one of two racers wins": one_racer_wins,
         }
 
@@ -274,7 +274,7 @@
     return not any(node.regressed for node in state["nodes"])
 
 
-def told_what_the_log_decided(state: dict[str, Any]) -> bool:
+def reports_match_log(state: dict[str, Any]) -> bool:
     """Return whether each reported outcome is the one that the whole log gives."""
     outcomes = decode_fold(reference(state["log"])).outcomes
     for i, writer in enumerate(state["writers"]):
