--- a/packages/endive_core/src/endive_core/policy.py
+++ b/packages/endive_core/src/endive_core/policy.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 
-def limit(default: Any, description: str, **bounds: float) -> Any:
+def parameter(default: Any, description: str, **bounds: float) -> Any:
     """Return the dataclass field of one parameter.
 
     Parameters
@@ -32,184 +32,190 @@
     Operators set it in the ``[policy]`` table of a node's settings.
     """
 
-    admission_margin: float = limit(
+    admission_margin: float = parameter(
         0.75,
-        "part of the first-token target a prediction may use up",
+        "fraction of the first-token target that the predicted time to the first "
+        "token may take",
         gt=0,
         le=1,
     )
-    wait_deviations: float = limit(
+    wait_deviations: float = parameter(
         3.0,
-        "mean deviations of earlier waits added to a predicted wait",
+        "mean deviations of earlier prediction errors that are added to a predicted "
+        "wait",
         ge=0,
     )
-    max_bulk_wait_s: float = limit(
+    max_bulk_wait_s: float = parameter(
         600.0,
-        "longest predicted wait of queued bulk work, seconds",
+        "longest predicted wait with which a bulk request is admitted, seconds",
         gt=0,
     )
-    min_retry_after_s: float = limit(
+    min_retry_after_s: float = parameter(
         0.2,
-        "shortest time to come back told to a caller, seconds",
+        "shortest retry-after time given to a refused caller, seconds",
         gt=0,
     )
-    max_retry_after_s: float = limit(
+    max_retry_after_s: float = parameter(
         900.0,
-        "longest time to come back told to a caller, seconds",
+        "longest retry-after time given to a refused caller, seconds",
         gt=0,
     )
-    reserved_share: float = limit(
+    reserved_share: float = parameter(
         0.08,
-        "part of a server's slots kept from bulk; two thirds of it from "
-        "organisations over their share",
+        "fraction of a server's slots that bulk requests may not use; organisations "
+        "over their share may not use two thirds of it",
         ge=0,
         lt=1,
     )
-    giving_way: float = limit(
+    giving_way: float = parameter(
         4.0,
-        "slots that bulk and organisations over their share free for each reserved "
-        "slot that is taken",
+        "slots that bulk requests and organisations over their share must free for "
+        "each reserved slot in use",
         ge=1,
     )
-    divided_share: float = limit(
+    divided_share: float = parameter(
         0.1,
-        "part of a server's slots that the nodes divide when no more are free",
+        "fraction of a server's slots that are divided among the nodes when no more "
+        "are free",
         ge=0,
         le=1,
     )
-    prefill_burst_s: float = limit(
+    prefill_burst_s: float = parameter(
         0.1,
-        "prefill work that bulk and organisations over their share may bring to a "
-        "server at once, seconds",
+        "prefill work that bulk requests and organisations over their share may send "
+        "to a server at once, seconds",
         gt=0,
     )
-    yield_wait_part: float = limit(
+    yield_wait_part: float = parameter(
         0.25,
-        "wait at a server, as part of the target, from which a prompt that will be "
-        "late goes behind the others there",
+        "wait at a server, as a fraction of the latency target, above which a request "
+        "that is predicted to miss its target is queued behind the others there",
         ge=0,
     )
-    queue_heads_tried: int = limit(
+    queue_heads_tried: int = parameter(
         8,
-        "organisations tried for one free slot",
+        "organisations whose first queued request is tried for one free slot",
         ge=1,
     )
-    affinity_candidates: int = limit(
+    affinity_candidates: int = parameter(
         2,
-        "servers tried because the prefix hashes to them",
+        "servers tried because a prefix of the prompt hashes to them",
         ge=0,
     )
-    affinity_belief: float = limit(
+    affinity_belief: float = parameter(
         0.5,
-        "part of a prefix that the servers it hashes to are taken to hold",
+        "fraction of a prefix that is assumed to be cached by the servers to which it "
+        "hashes",
         ge=0,
         le=1,
     )
-    random_candidates: int = limit(
+    random_candidates: int = parameter(
         2,
-        "servers with room tried at random",
+        "randomly chosen servers with free slots that are tried",
         ge=1,
     )
-    crowding_s: float = limit(
+    crowding_s: float = parameter(
         0.1,
-        "wait expected at a server whose last slot seems free, seconds",
+        "wait added to the prediction for a server without free slots, seconds; with "
+        "n free slots it is divided by n + 1",
         ge=0,
     )
-    load_bound: float = limit(
+    load_bound: float = parameter(
         1.25,
-        "load of an affinity server over the mean, at most",
+        "highest utilisation of a server chosen by prefix affinity, as a multiple of "
+        "the mean of all servers",
         ge=1,
     )
-    ring_points: int = limit(
+    ring_points: int = parameter(
         64,
-        "points of one server on the hash ring",
+        "points of each server on the hash ring",
         ge=1,
     )
-    max_known_blocks: int = limit(
+    max_known_blocks: int = parameter(
         32000,
-        "sampled prompt blocks remembered with servers",
+        "sampled prompt blocks kept in the prefix index, at most",
         ge=2,
     )
-    slow_ratio: float = limit(
+    slow_ratio: float = parameter(
         2.0,
-        "latency over the peers' median that marks a slow server",
+        "ratio of a server's latency to its peers' median from which it is marked slow",
         gt=1,
     )
-    max_slow_share: float = limit(
+    max_slow_share: float = parameter(
         0.34,
-        "part of the servers that may be marked slow",
+        "fraction of the servers that may be marked slow",
         ge=0,
         le=1,
     )
-    latency_smoothing: float = limit(
+    latency_smoothing: float = parameter(
         0.2,
-        "weight of the newest latency in the mean",
+        "weight of the newest latency in the moving average",
         gt=0,
         le=1,
     )
-    compare_every_s: float = limit(
+    compare_every_s: float = parameter(
         0.5,
-        "how often servers are compared with peers, seconds",
+        "interval between comparisons of the servers with their peers, seconds",
         gt=0,
     )
-    probe_every_s: float = limit(
+    probe_every_s: float = parameter(
         5.0,
-        "time between probes of a slow server, seconds",
+        "interval between probe requests to a slow server, seconds",
         gt=0,
     )
-    retry_base_s: float = limit(
+    retry_base_s: float = parameter(
         0.05,
         "mean delay before the first retry, seconds",
         gt=0,
     )
-    retry_max_s: float = limit(
+    retry_max_s: float = parameter(
         2.0,
         "longest delay before a retry, seconds",
         gt=0,
     )
-    retry_burst: float = limit(
+    retry_burst: float = parameter(
         10.0,
-        "retries a deployment may make without any success",
+        "retries that a deployment may make without any success",
         ge=0,
     )
-    failed_pause_s: float = limit(
+    failed_pause_s: float = parameter(
         1.0,
-        "time a server that failed gets no work, doubled for each further failure, "
-        "seconds",
+        "time for which a failed server gets no work, doubled for each further "
+        "failure, seconds",
         ge=0,
     )
-    max_failed_pause_s: float = limit(
+    max_failed_pause_s: float = parameter(
         10.0,
-        "longest time a failed server gets no work, seconds",
+        "longest time for which a failed server gets no work, seconds",
         ge=0,
     )
-    no_server_wait_s: float = limit(
+    no_server_wait_s: float = parameter(
         5.0,
-        "longest that queued requests wait while no server takes work, seconds",
+        "longest time that requests stay queued while no server takes work, seconds",
         ge=0,
     )
-    crashes_refused_from: int = limit(
+    crashes_refused_from: int = parameter(
         2,
-        "crashes after which a request is refused",
+        "server crashes attributed to a request from which it is refused",
         ge=1,
     )
-    crash_memory_s: float = limit(
+    crash_memory_s: float = parameter(
         3600.0,
-        "how long a crash is remembered, seconds",
+        "time for which a crash counts, seconds",
         gt=0,
     )
-    max_crash_fingerprints: int = limit(
+    max_crash_fingerprints: int = parameter(
         10000,
-        "fingerprints remembered with crashes",
+        "request fingerprints for which crashes are kept, at most",
         ge=1,
     )
-    export_tokens_per_s: float = limit(
+    export_tokens_per_s: float = parameter(
         100000.0,
-        "KV cache moved between servers, tokens a second",
+        "rate at which KV cache is moved between servers, tokens a second",
         gt=0,
     )
-    notice_margin_s: float = limit(
+    notice_margin_s: float = parameter(
         1.0,
-        "part of a reclaim notice left unused, seconds",
+        "time at the end of a reclaim notice that is left unused, seconds",
         ge=0,
     )
--- a/packages/endive_node/src/endive_node/settings.py
+++ b/packages/endive_node/src/endive_node/settings.py
@@ -25,15 +25,15 @@
 
 
 def _policy_section() -> type[_Section]:
-    """Return the model that validates the limits of :class:`Policy`."""
+    """Return the model that validates the parameters of :class:`Policy`."""
     checked = {}
-    for limit in fields(Policy):
+    for parameter in fields(Policy):
         declared = Field(
-            limit.default,
-            description=limit.metadata["description"],
-            **limit.metadata["bounds"],
+            parameter.default,
+            description=parameter.metadata["description"],
+            **parameter.metadata["bounds"],
         )
-        checked[limit.name] = (limit.type, declared)
+        checked[parameter.name] = (parameter.type, declared)
     return create_model("PolicySection", __base__=_Section, **checked)
 
 
@@ -44,18 +44,21 @@
     """Identity, zone and ports of this node."""
 
     id: Name = Field(description="name of this node, unique among all nodes")
-    zone: Name = Field(description="availability zone it runs in")
+    zone: Name = Field(description="availability zone of this node")
     region: Name = Field("local", description="region of the zone")
-    address: str = Field("127.0.0.1", description="IP number it listens on")
-    caller_port: Port = Field(8080, description="port for callers; 0 picks one")
-    operator_port: Port = Field(8081, description="port for operators; 0 picks one")
+    address: str = Field("127.0.0.1", description="IP address it listens on")
+    caller_port: Port = Field(8080, description="port for callers; 0 picks a free one")
+    operator_port: Port = Field(
+        8081, description="port for operators; 0 picks a free one"
+    )
     peer_port: Port = Field(8082, description="TCP port for other nodes")
     gossip_port: Port = Field(8083, description="UDP port for heartbeats")
     drain_settle_s: float = Field(
         2.0,
         ge=0,
-        description="after SIGTERM /healthz says 503 but calls are still taken for "
-        "so long, seconds: at least two looks of the balancer",
+        description="time after SIGTERM in which /healthz responds 503 but calls "
+        "are still accepted, seconds; at least two health checks of the "
+        "load balancer",
     )
 
 
@@ -68,7 +71,7 @@
     weights: Url | None = Field(None, description="address of the weight store")
     timeout_s: float = Field(2.0, gt=0, description="time-out of one call, seconds")
     notice_poll_s: float = Field(
-        0.5, gt=0, description="how often reclaim notices are asked for, seconds"
+        0.5, gt=0, description="interval between polls for reclaim notices, seconds"
     )
 
 
@@ -89,7 +92,8 @@
         pattern=SHA256_HEX.pattern, description="SHA-256 of the token, hex"
     )
     organisation: str = Field(
-        description="organisation whose resources it may see and change; * for all"
+        description="organisation whose resources the operator may read and change; "
+        "* for all"
     )
 
 
@@ -103,10 +107,14 @@
         4, ge=1, le=20, description="attempts at backend servers for one request"
     )
     keep_finished_s: float = Field(
-        30.0, ge=0, description="how long a finished answer can be fetched, seconds"
+        30.0,
+        ge=0,
+        description="time for which a finished response can be fetched, seconds",
     )
     explained_requests: int = Field(
-        5000, ge=0, description="latest requests that `endivectl explain` knows"
+        5000,
+        ge=0,
+        description="latest requests whose traces are kept for `endivectl explain`",
     )
 
 
@@ -115,13 +123,17 @@
 
     connect_timeout_s: float = Field(0.5, gt=0, description="time to connect, seconds")
     stall_timeout_s: float = Field(
-        10.0, gt=0, description="longest silence of a running answer, seconds"
+        10.0, gt=0, description="longest time without data during a response, seconds"
     )
     report_poll_s: float = Field(
-        0.5, gt=0, description="how often load reports are read, seconds"
+        0.5,
+        gt=0,
+        description="interval between polls of a server's load report, seconds",
     )
     max_report_polls_per_s: float = Field(
-        50.0, gt=0, description="reports read a second, over all servers, at most"
+        50.0,
+        gt=0,
+        description="load reports polled a second, over all servers, at most",
     )
 
 
@@ -131,17 +143,19 @@
     window_s: float = Field(
         CLAIM_WINDOW_S,
         gt=0,
-        description="how long a claim holds its key, seconds; below the log's "
+        description="time for which a claim holds its key, seconds; below the log's "
         "retention, and the same on all nodes",
     )
     appends_per_s: float = Field(
-        200.0, gt=0, description="appends of claims a second, all nodes together"
+        200.0, gt=0, description="claim appends to the log a second, all nodes together"
     )
     timeout_s: float = Field(
         2.0, gt=0, description="longest wait for the log's decision, seconds"
     )
     peer_timeout_s: float = Field(
-        0.7, gt=0, description="longest wait for a shard's writer, seconds"
+        0.7,
+        gt=0,
+        description="longest wait for the node that writes a claim shard, seconds",
     )
 
 
@@ -151,11 +165,13 @@
     snapshot_every_s: float = Field(
         3600.0,
         gt=0,
-        description="longest age of the newest snapshot while changes come, seconds; "
-        "keep it well under the log's retention",
+        description="greatest age of the newest snapshot while the configuration "
+        "changes, seconds; keep it well below the log's retention",
     )
     snapshot_every_records: int = Field(
-        1000, ge=1, description="records after which a snapshot is written earlier"
+        1000,
+        ge=1,
+        description="records after which a snapshot is written before that age",
     )
 
 
@@ -163,13 +179,21 @@
     """Heartbeats and failure detection between nodes."""
 
     datagrams_per_s: float = Field(
-        3.0, gt=0, le=50, description="heartbeats a node sends, each to one other"
+        3.0,
+        gt=0,
+        le=50,
+        description="heartbeats that a node sends a second, each to one other node",
     )
     suspect_after_s: float = Field(
-        8.0, gt=0, description="silence after which a member gets no work, seconds"
+        8.0,
+        gt=0,
+        description="time without a heartbeat after which a member gets no work, "
+        "seconds",
     )
     remove_after_s: float = Field(
-        24.0, gt=0, description="silence after which a member is removed, seconds"
+        24.0,
+        gt=0,
+        description="time without a heartbeat after which a member is removed, seconds",
     )
 
 
