--- a/packages/endive_node/src/endive_node/peers.thrift
+++ b/packages/endive_node/src/endive_node/peers.thrift
@@ -1,49 +1,51 @@
-// Calls between nodes. Addresses and records are text; answers carry no bare maps.
+// Calls between nodes. Addresses and log records are text; no result is a bare map.
 
 exception PeerError {
   1: string kind
   2: string message
 }
 
-// A part of an answer, for a node that passes it on to the caller.
+// Part of a response, for a node that relays it to the caller.
 struct AnswerPage {
-  // False if this node knows nothing of the request.
+  // False if this node has no record of the request.
   1: bool known
-  // Peer address of the node that holds it now; empty if this one does.
+  // Peer address of the node to which the request was moved; empty if it was not.
   2: string moved_to
-  // The request's head, only with the first page.
+  // Metadata of the request, only in the page that starts at token 0.
   3: binary head
   4: list<string> tokens
   5: string finish_reason
   6: string error_kind
   7: string error_message
-  // A plain service's answer, whole.
+  // Complete response of a plain service.
   8: i32 status
   9: string content_type
   10: binary body
 }
 
-// How the log decided a claim.
+// Outcome of a claim, as decided by the order of records in the log.
 struct ClaimAnswer {
   1: string verdict
-  // The record of the claim that was in its way; empty if there is none.
+  // Record of the claim that already holds the key; empty if there is none.
   2: string holder
 }
 
 service Peer {
   string ping()
-  // The snapshot record of the configuration this node has in force.
+  // Returns the configuration in force on this node, as a snapshot record.
   string pull_configuration() throws (1: PeerError error)
-  // The notes of a request that this node accepted, as JSON.
+  // Returns the trace of a request that this node accepted, as JSON.
   string explain_request(1: string request_id) throws (1: PeerError error)
-  // Append a claim record to its shard and read its decision back.
+  // Appends a claim record to its shard and returns the outcome read from the log.
   ClaimAnswer claim(1: string record) throws (1: PeerError error)
-  // Append a release record to its shard.
+  // Appends a release record to its shard.
   void release(1: string record) throws (1: PeerError error)
-  // Unfinished requests of a node that leaves; returns the ids that this node holds now.
+  // Transfers unfinished requests of a leaving node; returns the ids of those accepted.
   list<string> take_requests(1: string sender, 2: list<binary> requests) throws (1: PeerError error)
-  // Their answers so far: the sender has stopped; returns the ids that go on here.
+  // Transfers their partial responses once the sender has stopped; returns the ids of
+  // the requests that continue on this node.
   list<string> take_answers(1: string sender, 2: list<binary> answers) throws (1: PeerError error)
-  // The answer's tokens from `start` on, waiting up to `wait_s` seconds for the first.
+  // Returns the response's tokens from index `start` on; waits up to `wait_s` seconds
+  // for the first of them.
   AnswerPage read_answer(1: string organisation, 2: string request_id, 3: string key, 4: i32 start, 5: double wait_s)
 }
