--- a/benchmarks/bench_membership.py
+++ b/benchmarks/bench_membership.py
@@ -28,7 +28,7 @@
     listen_udp,
 )
 from endive_node.telemetry import MonotonicClock  # noqa: E402
-from made_network import Fleet, member  # noqa: E402
+from simulated_network import SimulatedNetwork, member  # noqa: E402
 
 NODE_COUNTS = (8, 32, 64)
 TARGET_NODE_COUNT = 370
@@ -127,8 +127,8 @@
 
     The node sends and receives as many datagrams as in a cluster of `count` nodes.
     """
-    fleet = Fleet(2)
-    node, other = fleet.nodes.values()
+    network = SimulatedNetwork(2)
+    node, other = network.nodes.values()
     for membership in (node, other):
         membership.receive(Digest(member(0), members=[member(n) for n in range(count)]))
     for _ in range(20):
@@ -147,7 +147,7 @@
         node.live()
         used += time.process_time() - started
         received += len(incoming) + HEADER_BYTES
-        fleet.time += 1 / DATAGRAMS_PER_S
+        network.time += 1 / DATAGRAMS_PER_S
     scale = DATAGRAMS_PER_S / rounds
     return (sent + received) * scale, used * scale
 
--- a/benchmarks/capacity_state.py
+++ b/benchmarks/capacity_state.py
@@ -15,7 +15,7 @@
 from endive_core.fold import MAX_OUTCOMES, ConfigurationFold
 from endive_core.membership import Digest
 from endive_core.records import Change, Claim, decode, encode
-from made_network import Fleet, member
+from simulated_network import SimulatedNetwork, member
 
 MEMBER_COUNTS = (90, 180, 370)
 SERVER_COUNTS = (260, 1300, 2600)
@@ -131,7 +131,7 @@
 
 def membership_with(count: int):
     """Return a membership with `count` members."""
-    (node,) = Fleet(1).nodes.values()
+    (node,) = SimulatedNetwork(1).nodes.values()
     node.receive(Digest(member(0), members=[member(n) for n in range(count)]))
     return node
 
--- a/packages/endive_node/tests/test_configuration.py
+++ b/packages/endive_node/tests/test_configuration.py
@@ -24,8 +24,8 @@
 from endive_node.settings import ConfigurationSection
 from endive_node.snapshot_writer import RANK_DELAY_S, SnapshotWriter
 from endive_node.telemetry import MonotonicClock
-from made_network import member
 from node_builders import FakeClock
+from simulated_network import member
 
 
 class FakeLog:
--- a/packages/endive_node/tests/test_gossip.py
+++ b/packages/endive_node/tests/test_gossip.py
@@ -14,29 +14,29 @@
     encode_digest,
     listen_udp,
 )
-from made_network import Fleet, member
 from node_builders import FakeClock
+from simulated_network import SimulatedNetwork, member
 
 
-def full_fleet():
-    """Return a fleet whose members, facts and requests exceed one datagram."""
-    fleet = Fleet(80)
-    fleet.run(10)
-    node = next(iter(fleet.nodes.values()))
+def large_network():
+    """Return a network whose members, facts and requests exceed one datagram."""
+    network = SimulatedNetwork(80)
+    network.run(10)
+    node = next(iter(network.nodes.values()))
     for number in range(200):
         node.facts.crash(f"{number:032x}", f"node-{number:03d}", number)
     for number in range(20):
         node.wanted[(1 << 34) - 1 - number] = None
-    return fleet, node
+    return network, node
 
 
 def test_datagrams_fit_one_mtu_and_come_back_whole():
-    fleet, node = full_fleet()
+    network, node = large_network()
     for _ in range(60):
         digest = node.digest()
-        data = encode_digest(digest, fleet.time)
+        data = encode_digest(digest, network.time)
         assert len(data) <= DATAGRAM_BYTES
-        back = decode_digest(data, fleet.time)
+        back = decode_digest(data, network.time)
         assert (back.sender, back.beats, back.members, back.wanted) == (
             digest.sender,
             digest.beats,
@@ -49,13 +49,13 @@
 def test_garbled_datagrams_are_refused():
     """Any host can send to the port. If one bad datagram ended the receive loop, the
     node would receive no heartbeats any more and be removed by all others."""
-    fleet, node = full_fleet()
-    data = encode_digest(node.digest(), fleet.time)
+    network, node = large_network()
+    data = encode_digest(node.digest(), network.time)
     garbled = [b"", b"x", b"\xff" * 500, data[:200], bytes(300), data[40:]]
     garbled += [encode_digest(Digest(member(1, zone="")), 0.0)]
     for bad in garbled:
         with pytest.raises(DatagramError):
-            decode_digest(bad, fleet.time)
+            decode_digest(bad, network.time)
 
 
 def make_gossip(number):
--- a/tests/made_network.py
+++ b/tests/simulated_network.py
@@ -24,7 +24,7 @@
     return Member(**(values | fields))
 
 
-class Fleet:
+class SimulatedNetwork:
     """Membership instances whose datagrams arrive immediately or are lost.
 
     Attributes
@@ -75,7 +75,7 @@
         if receiver not in self.paused and target.receive(digest):
             self.send(target, sender.me.gossip_address, digest.wanted)
 
-    def round(self):
+    def run_round(self):
         """Let every node send one datagram."""
         for address, node in list(self.nodes.items()):
             if address in self.paused or address not in self.nodes:
@@ -88,14 +88,14 @@
 
     def run(self, seconds):
         for _ in range(int(seconds / ROUND_S)):
-            self.round()
+            self.run_round()
 
     def seconds_until(self, condition, limit_s=120.0):
         """Run until `condition(node)` holds on every node; return the seconds."""
         started = self.time
         while not all(condition(node) for node in self.nodes.values()):
             assert self.time - started < limit_s, f"condition false after {limit_s} s"
-            self.round()
+            self.run_round()
         return self.time - started
 
     def all_live(self):
