--- a/packages/endive_gateway/src/endive_gateway/gateway.py
+++ b/packages/endive_gateway/src/endive_gateway/gateway.py
@@ -106,7 +106,7 @@
         loops = [
             self.configuration.run,
             self.servers.run,
-            self.context.placer.pump_often,
+            self.context.placer.poll_queues,
             self._sweep,
         ]
         if self.settings.duties:
--- a/packages/endive_gateway/src/endive_gateway/placing.py
+++ b/packages/endive_gateway/src/endive_gateway/placing.py
@@ -17,7 +17,7 @@
 from endive_core.scheduler import Scheduler
 from endive_core.service_types import ServiceType
 from endive_node.logs import log_event
-from endive_node.waiters import Waiters, crash_name, refusal_error
+from endive_node.scheduled_requests import ScheduledRequests, crash_id, refusal_error
 
 from endive_gateway.interfaces import ServerEntry
 from endive_gateway.servers import ServerRegistry
@@ -56,7 +56,7 @@
 (standard error 0.005 over 25 paired simulations)."""
 
 
-class Placer(Waiters):
+class Placer(ScheduledRequests):
     """Admits requests and assigns a server to each of their attempts.
 
     Attributes
@@ -96,7 +96,7 @@
         for gone in self.schedulers.keys() - self.services.keys():
             scheduler = self.schedulers.pop(gone)
             scheduler.close()
-            self.pump(scheduler)
+            self.dispatch_queued(scheduler)
         self.refresh()
 
     def set_nodes(self, nodes: int) -> None:
@@ -126,7 +126,7 @@
             rate = scheduler.prefill.tokens_per_s if scheduler.prefill else 1.0
             views = [self._view(entry, service, rate) for entry in usable]
             scheduler.set_servers(views)
-            self.pump(scheduler)
+            self.dispatch_queued(scheduler)
         usable_ids = {s.entry.id for s in self.registry.servers.values() if s.usable}
         for gone in self.views.keys() - usable_ids:
             del self.views[gone]
@@ -179,7 +179,7 @@
         scheduler = self.schedulers.get(service)
         if scheduler is None:
             raise EndiveError(ErrorKind.NO_SERVER, f"no service {service!r}")
-        return self.enter(scheduler.offer(call, self.now()), scheduler)
+        return self.add_admitted(scheduler.offer(call, self.now()), scheduler)
 
     def report(self, server_id: str, running: int, waiting: int) -> None:
         """Record the load that a server reported with a response."""
@@ -187,7 +187,7 @@
         scheduler = self.schedulers.get(view.service) if view else None
         if scheduler is not None:
             scheduler.report(server_id, running, waiting, as_of=self.now())
-            self.pump(scheduler)
+            self.dispatch_queued(scheduler)
 
     def finished(self, ticket: Ticket, tokens: int) -> None:
         """Record a complete response."""
@@ -204,7 +204,7 @@
         EndiveError
             If no retry is allowed.
         """
-        scheduler = self.owners[ticket]
+        scheduler = self.ticket_schedulers[ticket]
         verdict = scheduler.failed(
             ticket,
             self.now(),
@@ -212,16 +212,16 @@
             started=started,
             max_attempts=max_attempts,
         )
-        self.pump(scheduler)
+        self.dispatch_queued(scheduler)
         if not isinstance(verdict, Retry):
             raise refusal_error(verdict)
-        self.queue_again(ticket, verdict.delay_s)
+        self.requeue(ticket, verdict.delay_s)
 
     def count_final_failure(
         self, ticket: Ticket, reason: RetryReason, *, started: bool
     ) -> None:
         """Record a failed attempt that is not retried."""
-        scheduler = self.owners[ticket]
+        scheduler = self.ticket_schedulers[ticket]
         reason = self._effective_reason(ticket, reason, started=started)
         scheduler.count_failure(ticket, self.now(), reason, started=started)
 
@@ -254,8 +254,10 @@
         if self.is_listening(view.address):
             return
         log_event("server_crashed", server=view.id, request=ticket.call.request_id)
-        name = crash_name(view.id, self.wall_time())
-        self.owners[ticket].failures.attribute_crash(ticket, name, self.now())
+        crash = crash_id(view.id, self.wall_time())
+        self.ticket_schedulers[ticket].failures.attribute_crash(
+            ticket, crash, self.now()
+        )
 
 
 def _service_type(service: Service) -> ServiceType:
--- a/packages/endive_gateway/tests/gateway_builders.py
+++ b/packages/endive_gateway/tests/gateway_builders.py
@@ -174,7 +174,7 @@
             self.context.caller_limits,
         )
         self.listener.start()
-        self.pump = gevent.spawn(self.context.placer.pump_often)
+        self.queue_poller = gevent.spawn(self.context.placer.poll_queues)
 
     def caller(self):
         """Return a new connection of a caller."""
@@ -190,7 +190,7 @@
         return self
 
     def __exit__(self, *_exc_info):
-        self.pump.kill()
+        self.queue_poller.kill()
         self.listener.stop_accepting()
         for server in self.servers:
             server.stop()
--- a/packages/endive_gateway/tests/test_forwarding.py
+++ b/packages/endive_gateway/tests/test_forwarding.py
@@ -301,7 +301,7 @@
         gevent.sleep(0.1)
         (scheduler,) = running.context.placer.schedulers.values()
         assert scheduler.servers.own_in_flight == 0
-        assert not running.context.placer.owners
+        assert not running.context.placer.ticket_schedulers
         assert not running.context.pool.idle["i-1"]
 
 
--- a/packages/endive_node/src/endive_node/__init__.py
+++ b/packages/endive_node/src/endive_node/__init__.py
@@ -4,8 +4,8 @@
 
 - process: ``node``, ``settings``, ``interfaces``, ``contexts``, ``cli``, ``embedded``
 - callers: ``callers``, ``serving``, ``runs``, ``request_registry``, ``watching``
-- backend servers: ``attempts``, ``backends``, ``dispatching``, ``waiters``,
-  ``server_polling``
+- backend servers: ``attempts``, ``backends``, ``dispatching``,
+  ``scheduled_requests``, ``server_polling``
 - transfer of requests: ``pending_moves``, ``stream_mover``, ``handover``, ``takeover``,
   ``request_lookup``
 - operators: ``operators``, ``reporting``, ``request_traces``
--- a/packages/endive_node/src/endive_node/dispatching.py
+++ b/packages/endive_node/src/endive_node/dispatching.py
@@ -26,11 +26,11 @@
 from gevent.event import AsyncResult
 
 from endive_node.interfaces import BackendError, Clock
+from endive_node.scheduled_requests import ScheduledRequests, crash_id, refusal_error
 from endive_node.telemetry import Metrics
-from endive_node.waiters import Waiters, crash_name, refusal_error
 
 
-class Dispatcher(Waiters):
+class Dispatcher(ScheduledRequests):
     """Admits requests, and assigns a server to each of their attempts.
 
     A request calls :meth:`admit` on arrival; `acquire`, `started` and then `finished`
@@ -69,7 +69,7 @@
         for removed in self.schedulers.keys() - services.keys():
             scheduler = self.schedulers.pop(removed)
             scheduler.close()
-            self.pump(scheduler)
+            self.dispatch_queued(scheduler)
             del self.servers[removed]
         for name in services:
             self._refresh_service(name)
@@ -141,7 +141,7 @@
                 ErrorKind.NO_SERVER, f"no server of service {service!r} is known"
             )
         decision = scheduler.offer(self._call(request, service), self.clock.now())
-        return self.enter(decision, scheduler)
+        return self.add_admitted(decision, scheduler)
 
     def take_over(self, request: Request) -> Ticket:
         """Queue a request that this node or another one has already accepted.
@@ -159,7 +159,7 @@
             )
         call = self._call(request, service)
         decision = scheduler.take_over(call, self.clock.now())
-        return self.enter(decision, scheduler)
+        return self.add_admitted(decision, scheduler)
 
     def _call(self, request: Request, service: str) -> Call:
         priority = self.catalogue.priority(request.priority)
@@ -191,7 +191,7 @@
         EndiveError
             If no further attempt is allowed.
         """
-        scheduler = self.owners[ticket]
+        scheduler = self.ticket_schedulers[ticket]
         decision = scheduler.failed(
             ticket,
             self.clock.now(),
@@ -200,11 +200,11 @@
             crashed=self._crash_id(ticket, error),
             max_attempts=self.max_attempts,
         )
-        self.pump(scheduler)
+        self.dispatch_queued(scheduler)
         if isinstance(decision, Refusal):
             raise refusal_error(decision, f"{decision.message}; last error: {error}")
         self.metrics.count_retry(error.reason)
-        self.queue_again(ticket, decision.delay_s)
+        self.requeue(ticket, decision.delay_s)
 
     def plan_moves(
         self, server: ServerView, *, seconds_left: float
@@ -227,11 +227,11 @@
         tokens : int
             Number of tokens that were generated so far.
         """
-        scheduler = self.owners[ticket]
+        scheduler = self.ticket_schedulers[ticket]
         self.waiting[ticket] = AsyncResult()
         scheduler.moved(ticket, self.clock.now(), tokens=tokens)
         self.metrics.count_retry(RetryReason.SERVER_LEAVING)
-        self.pump(scheduler)
+        self.dispatch_queued(scheduler)
 
     def _crash_id(self, ticket: Ticket, error: BackendError) -> str:
         """Return the id of the crash that ended an attempt; empty if none did.
@@ -242,10 +242,10 @@
         """
         if not error.started or error.reason is not RetryReason.SERVER_FAILED:
             return ""
-        server = self.owners[ticket].servers.servers.get(ticket.server)
+        server = self.ticket_schedulers[ticket].servers.servers.get(ticket.server)
         if server is None or self.is_listening(server.view.address):
             return ""
-        return crash_name(server.id, self.wall_time())
+        return crash_id(server.id, self.wall_time())
 
 
 def _view(
--- a/packages/endive_node/src/endive_node/node.py
+++ b/packages/endive_node/src/endive_node/node.py
@@ -181,7 +181,7 @@
             self.snapshots.run,
             self.join,
             self.serving.expire,
-            self.dispatcher.pump_often,
+            self.dispatcher.poll_queues,
             self.server_poller.follow,
             self.notice_watcher.watch_notices,
             self.notice_watcher.watch_list,
--- a/packages/endive_node/src/endive_node/waiters.py
+++ b/packages/endive_node/src/endive_node/scheduled_requests.py
@@ -1,4 +1,4 @@
-"""Greenlets that wait for a server, and the schedulers that assign one to them."""
+"""Requests whose greenlets wait for a server that a scheduler assigns."""
 
 from collections.abc import Callable
 
@@ -9,17 +9,18 @@
 from endive_core.scheduler import Scheduler
 from gevent.event import AsyncResult, Event
 
-PUMP_S = 0.01
-"""Seconds between two polls of queues that no event triggers: pacing and pauses of
-servers end with time alone. 10 ms are short against latency targets of 0.2 s."""
+QUEUE_POLL_INTERVAL_S = 0.01
+"""Seconds between polls of the non-empty queues. Servers become available without an
+event when their pacing or pause ends. 10 ms are short compared with latency targets of
+0.2 s."""
 
 CRASH_WINDOW_S = 10.0
-"""Seconds. Crashes of one server within the same window of the wall clock are one
-crash, so that several nodes that detect it count it once. A server needs longer than
+"""Seconds. Crashes of one server within the same window of the wall clock count as one
+crash, so that several nodes that detect it count it once. A server takes longer than
 this to load its model again."""
 
 
-class Waiters:
+class ScheduledRequests:
     """The queued and running requests of a node, from admission to their end.
 
     The decisions are made by :class:`endive_core.scheduler.Scheduler`; this class
@@ -34,7 +35,7 @@
     ----------
     schedulers : dict of str to Scheduler
         By service.
-    owners : dict of Ticket to Scheduler
+    ticket_schedulers : dict of Ticket to Scheduler
         The scheduler of each request that has not ended.
     waiting : dict of Ticket to AsyncResult
         The server of the ticket's next attempt, once one is assigned.
@@ -45,17 +46,17 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
         self.schedulers: dict[str, Scheduler] = {}
-        self.owners: dict[Ticket, Scheduler] = {}
+        self.ticket_schedulers: dict[Ticket, Scheduler] = {}
         self.waiting: dict[Ticket, AsyncResult] = {}
         self.queued = Event()
 
-    def enter(self, decision: Ticket | Refusal, scheduler: Scheduler) -> Ticket:
+    def add_admitted(self, decision: Ticket | Refusal, scheduler: Scheduler) -> Ticket:
         """Add an admitted request; raise EndiveError if it was refused."""
         if isinstance(decision, Refusal):
             raise refusal_error(decision)
-        self.owners[decision] = scheduler
+        self.ticket_schedulers[decision] = scheduler
         self.waiting[decision] = AsyncResult()
-        self.pump(scheduler)
+        self.dispatch_queued(scheduler)
         return decision
 
     def acquire(self, ticket: Ticket) -> ServerView:
@@ -71,33 +72,36 @@
     def started(self, ticket: Ticket) -> None:
         """Record the first piece of an attempt."""
         if ticket.stage is Stage.DISPATCHED:
-            self.owners[ticket].started(ticket, self.now())
+            self.ticket_schedulers[ticket].started(ticket, self.now())
 
     def finished(self, ticket: Ticket, tokens: int) -> None:
         """Record a complete response of `tokens` tokens."""
-        scheduler = self.owners[ticket]
+        scheduler = self.ticket_schedulers[ticket]
         scheduler.finished(ticket, self.now(), tokens=tokens)
-        self.pump(scheduler)
+        self.dispatch_queued(scheduler)
 
-    def queue_again(self, ticket: Ticket, delay_s: float) -> None:
+    def requeue(self, ticket: Ticket, delay_s: float) -> None:
         """Queue a ticket again whose attempt failed, after `delay_s` seconds."""
-        scheduler = self.owners[ticket]
+        scheduler = self.ticket_schedulers[ticket]
         self.waiting[ticket] = AsyncResult()
         gevent.sleep(delay_s)
         scheduler.requeue(ticket)
-        self.pump(scheduler)
+        self.dispatch_queued(scheduler)
 
     def end(self, ticket: Ticket) -> None:
         """Remove the ticket; free its slot if it still holds one."""
-        scheduler = self.owners.pop(ticket, None)
+        scheduler = self.ticket_schedulers.pop(ticket, None)
         if scheduler is None:
             return
         del self.waiting[ticket]
         scheduler.cancelled(ticket, self.now())
-        self.pump(scheduler)
+        self.dispatch_queued(scheduler)
 
-    def pump(self, scheduler: Scheduler) -> None:
-        """Wake the greenlets of all tickets that are dispatched or have expired."""
+    def dispatch_queued(self, scheduler: Scheduler) -> None:
+        """Dispatch queued tickets while servers have room.
+
+        The greenlets of all tickets that are dispatched or have expired are woken.
+        """
         now = self.now()
         while (dispatch := scheduler.next_dispatch(now)) is not None:
             view = scheduler.servers.servers[dispatch.server].view
@@ -108,16 +112,16 @@
         if len(scheduler.queue):
             self.queued.set()
 
-    def pump_often(self) -> None:
-        """Poll the non-empty queues in an endless loop; the body of a greenlet."""
+    def poll_queues(self) -> None:
+        """Dispatch from the non-empty queues in an endless loop; run in a greenlet."""
         while True:
             self.queued.wait()
-            gevent.sleep(PUMP_S)
+            gevent.sleep(QUEUE_POLL_INTERVAL_S)
             waiting = [s for s in self.schedulers.values() if len(s.queue)]
             if not waiting:
                 self.queued.clear()
             for scheduler in waiting:
-                self.pump(scheduler)
+                self.dispatch_queued(scheduler)
 
 
 def refusal_error(refusal: Refusal, message: str = "") -> EndiveError:
@@ -129,6 +133,6 @@
     )
 
 
-def crash_name(server: str, wall_time: float) -> str:
+def crash_id(server: str, wall_time: float) -> str:
     """Return the id that all nodes give to a crash of `server` at `wall_time`."""
     return f"{server}@{int(wall_time // CRASH_WINDOW_S)}"
--- a/packages/endive_node/src/endive_node/server_polling.py
+++ b/packages/endive_node/src/endive_node/server_polling.py
@@ -83,7 +83,7 @@
                 self._read_events(scheduler, view)
         except READ_ERRORS:
             return
-        self.dispatcher.pump(scheduler)
+        self.dispatcher.dispatch_queued(scheduler)
 
     def _is_event_round(self) -> bool:
         return self.round % CACHE_EVENT_ROUNDS == 0
