--- a/benchmarks/experiments/__main__.py
+++ b/benchmarks/experiments/__main__.py
@@ -6,7 +6,7 @@
 import fire
 
 from experiments.deployment import Deployment
-from experiments.play import Options, Play
+from experiments.play import Options, Simulation
 from experiments.report import Figures, figures_of, plot, table
 
 WORKERS = 4
@@ -68,7 +68,7 @@
     """Simulate one policy on one seed; `job` is a file, a policy and a seed."""
     file, name, seed = job
     deployment = Deployment.from_file(file)
-    return figures_of(deployment, Play(deployment, POLICIES[name], seed).run())
+    return figures_of(deployment, Simulation(deployment, POLICIES[name], seed).run())
 
 
 if __name__ == "__main__":
--- a/benchmarks/experiments/play.py
+++ b/benchmarks/experiments/play.py
@@ -100,22 +100,22 @@
 class Node:
     """One node: its scheduler and what it knows of the engines."""
 
-    def __init__(self, play: "Play", number: int, options: Options) -> None:
+    def __init__(self, simulation: "Simulation", number: int, options: Options) -> None:
         self.name = f"n{number}"
         self.rate = PrefillRate()
         self.scheduler = Scheduler.from_policy(
             options.policy,
-            Random(1000 * play.seed + number),
+            Random(1000 * simulation.seed + number),
             prefill=self.rate if options.learned_rate else None,
         )
-        self.scheduler.set_nodes(play.deployment.nodes)
+        self.scheduler.set_nodes(simulation.deployment.nodes)
         self.backlogs = Backlogs()
         if options.backlogs:
             self.scheduler.placement.backlogs = self.backlogs
         self.prefill_work_s = 0.0
 
 
-class Play:
+class Simulation:
     """Event-driven simulation of one deployment under some options."""
 
     def __init__(self, deployment: Deployment, options: Options, seed: int) -> None:
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -5,7 +5,7 @@
 from experiments.__main__ import POLICIES, compare
 from experiments.deployment import Deployment
 from experiments.engines import Engine, Stream
-from experiments.play import Options, Play
+from experiments.play import Options, Simulation
 from experiments.report import figures_of, table
 from pydantic import ValidationError
 
@@ -89,16 +89,16 @@
 
 
 def test_the_same_seed_gives_the_same_outcomes(short):
-    one, other = (Play(short, Options(), 3).run() for _ in range(2))
+    one, other = (Simulation(short, Options(), 3).run() for _ in range(2))
     assert one.ended == other.ended
     assert len(one.ended) > 200
 
 
 def test_every_request_ends_once(short):
     """A zone is reclaimed while requests run there; each of them ends exactly once."""
-    play = Play(short, Options(), 5)
-    outcomes = [end.outcome for end in play.run().ended]
-    assert not play.running
+    simulation = Simulation(short, Options(), 5)
+    outcomes = [end.outcome for end in simulation.run().ended]
+    assert not simulation.running
     assert {"ok", "lost"} <= set(outcomes)
 
 
@@ -109,14 +109,17 @@
     late = {}
     for name in ("all", "no-backlogs"):
         found = [
-            figures_of(calm, Play(calm, POLICIES[name], s).run()) for s in (1, 2, 3)
+            figures_of(calm, Simulation(calm, POLICIES[name], s).run())
+            for s in (1, 2, 3)
         ]
         late[name] = sum(f.first_p99_s["notes"] for f in found)
     assert late["all"] < late["no-backlogs"]
 
 
 def test_the_table_pairs_policies_by_seed(short):
-    found = [figures_of(short, Play(short, Options(), seed).run()) for seed in (1, 2)]
+    found = [
+        figures_of(short, Simulation(short, Options(), seed).run()) for seed in (1, 2)
+    ]
     better = [replace(figures, served=figures.served + 0.01) for figures in found]
     made = table({"one": found, "two": better})
     assert "+0.0100 ± 0.0000" in made
