--- a/packages/endive_core/src/endive_core/policy.py
+++ b/packages/endive_core/src/endive_core/policy.py
@@ -196,7 +196,7 @@
     )
     crashes_refused_from: int = parameter(
         2,
-        "server crashes attributed to a request from which it is refused",
+        "number of server crashes attributed to a request at which it is refused",
         ge=1,
     )
     crash_memory_s: float = parameter(
