--- a/packages/endive_ctl/src/endive_ctl/losses.py
+++ b/packages/endive_ctl/src/endive_ctl/losses.py
@@ -1,7 +1,9 @@
-"""Where callers lost: each request of a log by cause, so that all of them add up.
+"""Loss report: counts the requests in gateways' logs by outcome or cause of lateness.
 
-A gateway sees a request from its first byte to the end of its answer. What was lost
-before, while no node took connections, shows as dark time of the nodes.
+Each request has exactly one cause, so the counts add up to the number of requests.
+A gateway logs a request from its first byte to the end of its response. Requests that
+arrived while a node accepted no connections are in no log; they show only as downtime
+of the node (``dark_s``).
 """
 
 from collections import Counter, defaultdict
@@ -12,22 +14,24 @@
 
 IN_TIME = "in time"
 QUEUED = "late: queued"
-SENT_AGAIN = "late: sent again"
+RETRIED = "late: sent again"
 AT_SERVER = "late: first byte"
 YIELDED = "late: behind others"
 PAUSED = "late: pause"
-NOT_ADMITTED = frozenset({"not_found", "unauthenticated"})
-"""Outcomes of requests that no configuration allows: nothing is owed to them."""
+UNCOUNTED_OUTCOMES = frozenset({"not_found", "unauthenticated"})
+"""Outcomes of requests without a valid key or route. They are left out of the report,
+since no configuration would have served them."""
 
-LEAST_DARK_S = 0.5
-"""Silence before a start that counts as dark, seconds: a busy node logs every few
-milliseconds."""
+MIN_DARK_S = 0.5
+"""Shortest gap in a node's log before a start that counts as downtime, seconds. A busy
+node logs every few milliseconds."""
 
 
-def cause_of(line: LogLine) -> str:
-    """Return why a request's caller got less than a whole answer in time.
+def loss_cause(line: LogLine) -> str:
+    """Return why a request was not completed in time, or ``IN_TIME``.
 
-    A late answer is put down to the queue only if it would have been in time without.
+    A late first byte is attributed to the queue only if the request would have been in
+    time without the time in the queue.
     """
     outcome = line.fields.get("outcome", "")
     if outcome != "ok":
@@ -36,7 +40,7 @@
     pause_ms = line.number("pause_ms")
     if line.number("target_ms") and over_ms > 0:
         if "," in line.fields.get("servers", ""):
-            return SENT_AGAIN
+            return RETRIED
         if line.number("queued_ms") >= over_ms:
             return QUEUED
         return YIELDED if line.number("yielded") else AT_SERVER
@@ -46,17 +50,21 @@
 
 
 @dataclass
-class Losses:
-    """What a log says of the callers' losses and of what serving cost.
+class LossReport:
+    """Requests by cause, downtime of nodes, and the cost of serving.
 
     Attributes
     ----------
+    every_s : float
+        Length of the time intervals of `by_time`, seconds.
     by_route, by_time : dict
-        Requests by cause, for each route and each step of time.
+        Number of requests by cause, for each route and for each time interval.
     dark_s : dict of str to float
-        Seconds by node in which it said nothing before it started.
+        Downtime of each node, seconds: the gaps in its log before each start.
     servers_s : dict
-        Seconds of servers ordered, by service and kind.
+        Server seconds ordered, by service and kind.
+    prompt_tokens, uncached_tokens : float
+        Tokens of the prompts, and those of them that were expected to be computed.
     """
 
     every_s: float
@@ -70,46 +78,46 @@
     uncached_tokens: float = 0.0
 
     @classmethod
-    def from_lines(cls, lines: Iterable[LogLine], every_s: float = 2.0) -> "Losses":
-        """Return the losses in `lines`, which are in order of time."""
-        losses = cls(every_s)
-        heard_at: dict[str, float] = {}
-        orders = OrderedServers(losses.servers_s)
+    def from_lines(cls, lines: Iterable[LogLine], every_s: float = 2.0) -> "LossReport":
+        """Return the report on `lines`, which are sorted by time."""
+        report = cls(every_s)
+        last_line_at: dict[str, float] = {}
+        orders = OrderedServers(report.servers_s)
         at = 0.0
         for line in lines:
             at = line.at
             if line.event == "request":
-                losses.add_request(line)
+                report.add_request(line)
             elif line.event == "start":
-                silent_s = at - heard_at.get(line.node, at)
-                if silent_s >= LEAST_DARK_S:
-                    losses.dark_s[line.node] += silent_s
+                silent_s = at - last_line_at.get(line.node, at)
+                if silent_s >= MIN_DARK_S:
+                    report.dark_s[line.node] += silent_s
             elif line.event == "ordered":
-                orders.take(line)
-            heard_at[line.node] = at
+                orders.add_order(line)
+            last_line_at[line.node] = at
         orders.count_until(at)
-        return losses
+        return report
 
     def add_request(self, line: LogLine) -> None:
-        """Count one request."""
-        cause = cause_of(line)
-        if cause in NOT_ADMITTED:
+        """Count one request, unless its outcome is left out of the report."""
+        cause = loss_cause(line)
+        if cause in UNCOUNTED_OUTCOMES:
             return
-        began_at = max(0.0, line.at - line.number("ms") / 1000)
+        started_at = max(0.0, line.at - line.number("ms") / 1000)
         self.by_route[line.fields.get("route", "")][cause] += 1
-        self.by_time[began_at // self.every_s * self.every_s][cause] += 1
+        self.by_time[started_at // self.every_s * self.every_s][cause] += 1
         self.prompt_tokens += line.number("prompt")
         self.uncached_tokens += line.number("uncached")
 
     def causes(self) -> list[str]:
-        """Return all causes found, those that hit most requests first."""
+        """Return all causes found, the most frequent first."""
         totals = Counter()
         for counts in self.by_route.values():
             totals.update(counts)
         return [cause for cause, _ in totals.most_common()]
 
     def to_body(self) -> dict:
-        """Return the same for programs."""
+        """Return the report as a JSON-serialisable dict."""
         return {
             "routes": {route: dict(counts) for route, counts in self.by_route.items()},
             "steps": [
@@ -127,21 +135,21 @@
 
 
 class OrderedServers:
-    """Adds up for how long servers were on order."""
+    """Adds up server seconds: the number of servers ordered, times the duration."""
 
     def __init__(self, totals: dict[tuple[str, str], float]) -> None:
         self.totals = totals
         self.ordered: dict[tuple[str, str, str], tuple[float, float]] = {}
 
-    def take(self, line: LogLine) -> None:
-        """Take in an order, which replaces the one before of its zone and kind."""
+    def add_order(self, line: LogLine) -> None:
+        """Add an order; it replaces the last one of its service, kind and zone."""
         kind = "reclaimable" if line.fields.get("reclaimable") == "True" else "kept"
         key = (line.fields.get("service", ""), kind, line.fields.get("zone", ""))
         self._count(key, line.at)
         self.ordered[key] = (line.number("servers"), line.at)
 
     def count_until(self, at: float) -> None:
-        """Count what is on order up to `at`."""
+        """Add up the servers on order until `at`, seconds."""
         for key in self.ordered:
             self._count(key, at)
 
--- a/packages/endive_ctl/src/endive_ctl/tables.py
+++ b/packages/endive_ctl/src/endive_ctl/tables.py
@@ -1,29 +1,31 @@
-"""Answers as tables for people."""
+"""Text tables for responses and reports."""
 
 import time
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
 from endive_ctl.loglines import LogLine
-from endive_ctl.losses import Losses
+from endive_ctl.losses import LossReport
 
-GAP = "  "
+COLUMN_SEPARATOR = "  "
 NO_VALUE = "-"
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Return aligned columns; an empty table is its head alone."""
+    """Return aligned columns; without rows only the head."""
     cells = [list(head), *([str(cell) for cell in row] for row in rows)]
     widths = [max(len(row[i]) for row in cells) for i in range(len(head))]
     lines = (
-        GAP.join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
+        COLUMN_SEPARATOR.join(
+            cell.ljust(width) for cell, width in zip(row, widths, strict=True)
+        )
         for row in cells
     )
     return "\n".join(line.rstrip() for line in lines)
 
 
 def resources(items: list[dict]) -> str:
-    """Return one row a resource: what it is, and whether it is in force."""
+    """Return one row for each resource, with whether it is in force."""
     head = ("KIND", "NAME", "OWNER", "VERSION", "IN FORCE", "NODES", "WHY NOT")
     return table(head, map(_resource_row, items))
 
@@ -42,31 +44,31 @@
 
 
 def event(version: int, data: dict) -> str:
-    """Return one line for a change that a watch shows."""
+    """Return the line that a watch prints for one change."""
     return (
         f"{clock(data['at'])} version {version} {data['type']} "
         f"{data['kind']}/{data['name']} by {data['operator'] or NO_VALUE}"
     )
 
 
-def status(answer: dict) -> str:
-    """Return the state of a node as a page."""
-    configuration = answer["configuration"]
+def status(response: dict) -> str:
+    """Return the state of a node as text with several tables."""
+    configuration = response["configuration"]
     age = configuration["log_read_s_ago"]
     parts = [
-        f"node {answer['node']} in {answer['zone']}: "
-        + ("ready" if answer["ready"] else "not ready")
-        + (", stopping" if answer["stopping"] else ""),
+        f"node {response['node']} in {response['zone']}: "
+        + ("ready" if response["ready"] else "not ready")
+        + (", stopping" if response["stopping"] else ""),
         f"configuration version {configuration['version']}, log read "
         + (NO_VALUE if age is None else f"{age:.1f} s ago"),
-        f"requests in flight: {answer['in_flight']}",
+        f"requests in flight: {response['in_flight']}",
         "",
-        _nodes(answer["nodes"], configuration["version"]),
+        _nodes(response["nodes"], configuration["version"]),
         "",
-        _servers(answer["servers"]),
+        _servers(response["servers"]),
     ]
     for title in ("zones_under_notice", "queues", "refusals", "retries"):
-        parts += _section(title, answer.get(title))
+        parts += _section(title, response.get(title))
     return "\n".join(parts)
 
 
@@ -104,42 +106,42 @@
     return ["", f"{head}: {', '.join(map(str, value))}"]
 
 
-def explanation(answer: dict) -> str:
-    """Return what became of a request, an event a line."""
+def explanation(response: dict) -> str:
+    """Return the outcome of a request and its events, one event a line."""
     lines = [
-        f"request {answer['request_id']} of {answer['organisation']}: "
-        f"{answer['state']}, executed: {answer['executed']}",
+        f"request {response['request_id']} of {response['organisation']}: "
+        f"{response['state']}, executed: {response['executed']}",
     ]
-    lines += [f"{note['after_s']:9.3f} s  {note['text']}" for note in answer["notes"]]
+    lines += [f"{note['after_s']:9.3f} s  {note['text']}" for note in response["notes"]]
     return "\n".join(lines)
 
 
-def losses(found: Losses) -> str:
-    """Return where callers lost, by route and by time, and what serving cost."""
-    causes = found.causes()
+def losses(report: LossReport) -> str:
+    """Return a loss report as tables: by route, by time, server cost and downtime."""
+    causes = report.causes()
 
     def rows(groups) -> list[tuple]:
         return [(name, *(c[cause] for cause in causes)) for name, c in groups]
 
-    total = sum(found.by_route.values(), Counter())
-    by_route = [*sorted(found.by_route.items()), ("all", total)]
-    by_time = [(f"{at:.0f} s", c) for at, c in sorted(found.by_time.items())]
-    servers = [(*key, round(s)) for key, s in sorted(found.servers_s.items())]
-    dark = [(node, f"{s:.2f}") for node, s in sorted(found.dark_s.items())]
+    total = sum(report.by_route.values(), Counter())
+    by_route = [*sorted(report.by_route.items()), ("all", total)]
+    by_time = [(f"{at:.0f} s", c) for at, c in sorted(report.by_time.items())]
+    servers = [(*key, round(s)) for key, s in sorted(report.servers_s.items())]
+    dark = [(node, f"{s:.2f}") for node, s in sorted(report.dark_s.items())]
     return "\n\n".join(
         (
             table(("ROUTE", *causes), rows(by_route)),
             table(("FROM", *causes), rows(by_time)),
             table(("SERVICE", "KIND", "SERVER SECONDS ORDERED"), servers),
             table(("NODE", "DARK SECONDS"), dark),
-            f"prompt tokens sent {found.prompt_tokens:.0f}, "
-            f"expected to be computed {found.uncached_tokens:.0f}",
+            f"prompt tokens sent {report.prompt_tokens:.0f}, "
+            f"expected to be computed {report.uncached_tokens:.0f}",
         )
     )
 
 
 def trace(lines: Iterable[LogLine]) -> str:
-    """Return all that was logged of one request, a line an event."""
+    """Return a table of log lines of one request, one event a row."""
     rows = (
         (
             f"{line.at:.3f} s",
@@ -153,5 +155,5 @@
 
 
 def clock(at: float) -> str:
-    """Return a time of day in UTC."""
+    """Return a Unix time as an ISO 8601 timestamp in UTC."""
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(at))
--- a/packages/endive_standins/src/endive_standins/engine.py
+++ b/packages/endive_standins/src/endive_standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine."""
+"""Stand-in for a model engine: completions, KV cache transfer, load and orders."""
 
 import time
 from collections import Counter, OrderedDict
@@ -13,12 +13,15 @@
 from gevent.event import Event
 
 from endive_standins import serving
-from endive_standins.answers import EventWriter, Garble, whole
-from endive_standins.batching import Batch, KvBlob, Sequence, WorkClock
+from endive_standins.batching import Batch, KvBlob, ScaledClock, Sequence
 from endive_standins.prefixes import CacheEvents, PrefixCache
+from endive_standins.responses import EventWriter, StreamCorruption, completion_body
+
+MAX_RETAINED_SEQUENCES = 4096
+"""Sequences kept for cancel and export requests, ended ones included."""
 
-KNOWN_SEQUENCES = 4096
 DISCONNECT_CHECK_S = 0.1
+"""Time between checks whether a waiting client has disconnected, seconds."""
 
 
 class Message(msgspec.Struct):
@@ -28,13 +31,16 @@
 
 
 class Resume(msgspec.Struct):
-    """The answer so far."""
+    """The completion that an earlier attempt generated so far."""
 
     tokens: list[str] = []
 
 
-class Call(msgspec.Struct):
-    """The body of a call for a completion."""
+class CompletionRequest(msgspec.Struct):
+    """The body of a request for a completion.
+
+    `resume` and `kv_handle` continue a completion, with an imported KV cache.
+    """
 
     model: str = ""
     prompt: str = ""
@@ -48,20 +54,20 @@
     kv_handle: str | None = None
 
 
-class RequestName(msgspec.Struct):
-    """The body of an order about one request."""
+class RequestReference(msgspec.Struct):
+    """The body of a request about another request."""
 
     request_id: str
 
 
-class Import(msgspec.Struct):
-    """The body of an import of a KV cache."""
+class KvImport(msgspec.Struct):
+    """The body of a request to import a KV cache."""
 
     blob: KvBlob
 
 
-class Desired(msgspec.Struct):
-    """What an engine is told to serve."""
+class DesiredState(msgspec.Struct):
+    """What an engine is to serve."""
 
     model: str = ""
     version: str = ""
@@ -70,25 +76,51 @@
 
 
 class Order(msgspec.Struct):
-    """The body of an order to the engine."""
+    """The body of an order to the engine; `fence` is its fencing token."""
 
     order_id: str
     fence: int
-    desired: Desired
+    desired: DesiredState
 
 
 class EngineFaults(serving.Faults):
-    """The engine's faults."""
+    """Faults of the engine.
+
+    Attributes
+    ----------
+    crash_on : str
+        A prompt that contains this text crashes the engine when it starts to run.
+    slow_factor : float
+        Factor by which all work takes longer.
+    drop_after : int or None
+        The next stream is cut off after this many tokens.
+    garble : StreamCorruption or None
+        Faults of the events of each stream.
+    """
 
     crash_on: str = ""
     slow_factor: float = 1.0
     drop_after: int | None = None
-    garble: Garble | None = None
+    garble: StreamCorruption | None = None
 
 
 @dataclass
 class EngineSettings:
-    """The engine's flags."""
+    """Command-line flags of the engine.
+
+    Attributes
+    ----------
+    max_batch, max_waiting : int
+        Largest number of running and of waiting sequences.
+    cache_blocks, block_tokens : int
+        Capacity of the prefix cache in blocks, and tokens in a block.
+    report_lag_s, event_lag_s : float
+        Age of the reported load and delay of cache events, seconds.
+    event_gap : float
+        Probability that a cache event is lost.
+    checks_fencing : bool
+        Whether orders with an old fencing token are rejected.
+    """
 
     id: str = "engine"
     decode_tokens_per_s: float = 50.0
@@ -105,7 +137,7 @@
 
 
 class EventStream:
-    """The server-sent events of one sequence; closing it cancels the sequence."""
+    """Iterator over the server-sent events of a sequence; `close` cancels it."""
 
     def __init__(
         self, engine: "Engine", sequence: Sequence, chat: bool, environ: dict[str, Any]
@@ -113,7 +145,7 @@
         self.engine = engine
         self.sequence = sequence
         self.environ = environ
-        self.sent = sequence.resumed
+        self.sent = sequence.resumed_length
         self.ended = False
         self.writer = EventWriter(sequence, chat, engine.faults.garble)
         drop_after, engine.faults.drop_after = engine.faults.drop_after, None
@@ -127,15 +159,15 @@
             raise StopIteration
         if self.sent == self.limit:
             self.close()
-            raise serving.connection_lost()
-        self.engine.wait(self.sequence, self.sent, self.environ)
-        return self._take().encode()
+            raise serving.connection_closed_error()
+        self.engine.wait_for_tokens(self.sequence, self.sent, self.environ)
+        return self._next_events().encode()
 
     def close(self) -> None:
-        """End the sequence if it still runs."""
-        self.engine.stop_sequence(self.sequence)
+        """Cancel the sequence if it still runs."""
+        self.engine.cancel_sequence(self.sequence)
 
-    def _take(self) -> str:
+    def _next_events(self) -> str:
         texts = self.sequence.tokens[self.sent : self.limit]
         at_end = self.sent + len(texts) == len(self.sequence.tokens)
         self.ended = at_end and self.sequence.finish_reason is not None
@@ -154,13 +186,13 @@
 
     def __init__(self, settings: EngineSettings) -> None:
         super().__init__(settings)
-        lag_s, gap = settings.event_lag_s, settings.event_gap
-        self.events = CacheEvents(lag_s, gap, settings.seed)
+        lag_s, loss_probability = settings.event_lag_s, settings.event_gap
+        self.events = CacheEvents(lag_s, loss_probability, settings.seed)
         blocks, block_tokens = settings.cache_blocks, settings.block_tokens
         self.cache = PrefixCache(blocks, block_tokens, self.events.add)
-        self.clock = WorkClock()
-        self.batch = Batch(settings, self.cache, self.clock, self.started)
-        self.load = serving.Delayed(settings.report_lag_s, (0, 0, 0))
+        self.clock = ScaledClock()
+        self.batch = Batch(settings, self.cache, self.clock, self.on_sequence_start)
+        self.load = serving.DelayedValue(settings.report_lag_s, (0, 0, 0))
         self.numbers = count()
         self.sequences: OrderedDict[str, Sequence] = OrderedDict()
         self.imports: dict[str, KvBlob] = {}
@@ -171,11 +203,16 @@
         self._route()
 
     def _route(self) -> None:
-        self.route("POST", "/v1/completions", self.post_completions, Call)
-        self.route("POST", "/v1/chat/completions", self.post_chat_completions, Call)
-        self.route("POST", "/cancel", self.post_cancel, RequestName)
-        self.route("POST", "/kv/export", self.post_export, RequestName)
-        self.route("POST", "/kv/import", self.post_import, Import)
+        self.route("POST", "/v1/completions", self.post_completions, CompletionRequest)
+        self.route(
+            "POST",
+            "/v1/chat/completions",
+            self.post_chat_completions,
+            CompletionRequest,
+        )
+        self.route("POST", "/cancel", self.post_cancel, RequestReference)
+        self.route("POST", "/kv/export", self.post_export, RequestReference)
+        self.route("POST", "/kv/import", self.post_import, KvImport)
         self.route("GET", "/load", self.get_load)
         self.route("GET", "/cache/events", self.get_events)
         self.route("POST", "/orders", self.post_orders, Order)
@@ -187,97 +224,107 @@
         self.scheduler.start()
 
     def stop(self) -> None:
-        """End the scheduler."""
+        """Stop the scheduler."""
         self.scheduler.kill(block=False)
 
     def schedule(self) -> None:
-        """Step whenever there is work."""
+        """Step the batch whenever work is due."""
         while True:
             self.wake.clear()
             if self.clock.speed:
                 self.batch.step()
-                self.note_load()
-            self.wake.wait(self._pause_s())
+                self.record_load()
+            self.wake.wait(self._seconds_until_due())
 
-    def _pause_s(self) -> float | None:
+    def _seconds_until_due(self) -> float | None:
         due = self.batch.next_due()
         if due is None or not self.clock.speed:
             return None
         return max(0.0, due - self.clock.now()) / self.clock.speed
 
-    def note_load(self) -> None:
-        """Keep the load for a later report."""
+    def record_load(self) -> None:
+        """Record the current load, to be reported after the delay."""
         running, waiting = len(self.batch.running), len(self.batch.waiting)
         self.load.set((running, waiting, len(self.cache.blocks)))
 
     def is_work(self, method: str, path: str) -> bool:
-        """Return whether the call asks for a completion."""
+        """Return whether the request is for a completion."""
         return path.startswith("/v1/")
 
-    def ordered(self, given: dict[str, Any]) -> None:
-        """Let the ordered faults begin."""
-        super().ordered(given)
+    def apply_faults(self, given: dict[str, Any]) -> None:
+        """Apply the faults in `given`."""
+        super().apply_faults(given)
         self.set_speed()
 
     def set_speed(self) -> None:
-        """Let the work go on as fast as the faults allow."""
-        frozen_s = self.frozen_until - time.monotonic()
-        if frozen_s > 0:
-            gevent.spawn_later(frozen_s, self.set_speed)
-        self.clock.set_speed(0.0 if frozen_s > 0 else 1 / self.faults.slow_factor)
+        """Set the clock's speed according to the faults; 0 during a freeze."""
+        remaining_s = self.frozen_until - time.monotonic()
+        if remaining_s > 0:
+            gevent.spawn_later(remaining_s, self.set_speed)
+        self.clock.set_speed(0.0 if remaining_s > 0 else 1 / self.faults.slow_factor)
         self.wake.set()
 
-    def started(self, sequence: Sequence) -> None:
-        """Note that a sequence starts to run, or crash on it."""
+    def on_sequence_start(self, sequence: Sequence) -> None:
+        """Count an execution; crash if the prompt matches the injected fault."""
         self.executions[sequence.request_id] += 1
         if self.faults.crash_on and self.faults.crash_on in sequence.prompt:
             self.crash()
 
-    def wait(self, sequence: Sequence, seen: int, environ: dict[str, Any]) -> None:
-        """Wait for more than the tokens seen, or for the end of a sequence."""
-        while len(sequence.tokens) == seen and sequence.finish_reason is None:
+    def wait_for_tokens(
+        self, sequence: Sequence, known_length: int, environ: dict[str, Any]
+    ) -> None:
+        """Wait until a sequence has more than `known_length` tokens, or ended.
+
+        Raises
+        ------
+        BrokenPipeError
+            If the client disconnected; the sequence is cancelled.
+        """
+        while len(sequence.tokens) == known_length and sequence.finish_reason is None:
             sequence.changed.clear()
             sequence.changed.wait(DISCONNECT_CHECK_S)
-            # Its client is gone: a sequence that goes on takes a place in the batch
-            # and nobody reads its tokens.
-            if serving.disconnected(environ):
-                self.stop_sequence(sequence)
-                raise serving.connection_lost()
-
-    def stop_sequence(self, sequence: Sequence) -> None:
-        """End a sequence before its answer is whole."""
+            # After its client has disconnected, nobody reads the sequence's tokens,
+            # but it would still take a place in the batch.
+            if serving.client_disconnected(environ):
+                self.cancel_sequence(sequence)
+                raise serving.connection_closed_error()
+
+    def cancel_sequence(self, sequence: Sequence) -> None:
+        """End a sequence before its completion is finished."""
         self.batch.end(sequence, "cancelled")
-        self.note_load()
+        self.record_load()
         self.wake.set()
 
-    def post_completions(self, call: Call) -> HTTPResponse:
+    def post_completions(self, call: CompletionRequest) -> HTTPResponse:
         """Complete a prompt."""
         return self.complete(call, call.prompt, chat=False)
 
-    def post_chat_completions(self, call: Call) -> HTTPResponse:
-        """Answer a chat."""
+    def post_chat_completions(self, call: CompletionRequest) -> HTTPResponse:
+        """Complete a chat."""
         prompt = "\n".join(message.content for message in call.messages)
         return self.complete(call, prompt, chat=True)
 
-    def complete(self, call: Call, prompt: str, chat: bool) -> HTTPResponse:
-        """Run a call, or refuse it before it starts."""
+    def complete(
+        self, call: CompletionRequest, prompt: str, chat: bool
+    ) -> HTTPResponse:
+        """Execute a completion request, or refuse it before it starts to run."""
         environ = request.environ
         sequence = self.new_sequence(call, prompt)
         self.batch.add(sequence)
-        self.note_load()
+        self.record_load()
         self.wake.set()
-        self.wait(sequence, sequence.resumed, environ)
+        self.wait_for_tokens(sequence, sequence.resumed_length, environ)
         if sequence.started_at is None:
-            return serving.not_run(sequence.finish_reason)
+            return serving.not_executed_response(sequence.finish_reason)
         if call.stream:
             stream = EventStream(self, sequence, chat, environ)
             return HTTPResponse(stream, 200, {"Content-Type": "text/event-stream"})
         while sequence.finish_reason is None:
-            self.wait(sequence, len(sequence.tokens), environ)
-        return serving.answer(whole(sequence, chat, call.model))
+            self.wait_for_tokens(sequence, len(sequence.tokens), environ)
+        return serving.json_response(completion_body(sequence, chat, call.model))
 
-    def new_sequence(self, call: Call, prompt: str) -> Sequence:
-        """Build the sequence of a call."""
+    def new_sequence(self, call: CompletionRequest, prompt: str) -> Sequence:
+        """Create and retain the sequence of a completion request."""
         number = next(self.numbers)
         request_id = call.request_id or f"{self.settings.id}-{number}"
         tokens = list(call.resume.tokens) if call.resume else []
@@ -293,39 +340,39 @@
         )
         self.sequences[request_id] = sequence
         self.sequences.move_to_end(request_id)
-        if len(self.sequences) > KNOWN_SEQUENCES:
+        if len(self.sequences) > MAX_RETAINED_SEQUENCES:
             self.sequences.popitem(last=False)
         return sequence
 
-    def stop_request(self, request_id: str) -> Sequence | None:
-        """End every attempt at a request; return the last one."""
+    def cancel_request(self, request_id: str) -> Sequence | None:
+        """Cancel all attempts at a request; return the last one, None if unknown."""
         for sequence in [*self.batch.running, *self.batch.waiting]:
             if sequence.request_id == request_id:
-                self.stop_sequence(sequence)
+                self.cancel_sequence(sequence)
         return self.sequences.get(request_id)
 
-    def post_cancel(self, name: RequestName) -> dict[str, Any]:
+    def post_cancel(self, reference: RequestReference) -> dict[str, Any]:
         """Cancel a request."""
-        sequence = self.stop_request(name.request_id)
+        sequence = self.cancel_request(reference.request_id)
         if sequence is None:
             return {"stopped": False, "known": False}
         return {"stopped": True, "known": True, "tokens": sequence.tokens}
 
-    def post_export(self, name: RequestName) -> Any:
-        """Stop a sequence and hand out its KV cache."""
-        sequence = self.stop_request(name.request_id)
+    def post_export(self, reference: RequestReference) -> Any:
+        """Cancel a request and return its tokens and its KV cache."""
+        sequence = self.cancel_request(reference.request_id)
         if sequence is None:
-            return serving.failure(404, "unknown_request")
+            return serving.error_response(404, "unknown_request")
         return {"tokens": sequence.tokens, "blob": sequence.export()}
 
-    def post_import(self, order: Import) -> dict[str, Any]:
-        """Take a KV cache in."""
+    def post_import(self, kv_import: KvImport) -> dict[str, Any]:
+        """Store a KV cache and return a handle for a completion request."""
         handle = f"kv-{next(self.numbers)}"
-        self.imports[handle] = order.blob
+        self.imports[handle] = kv_import.blob
         return {"kv_handle": handle}
 
     def get_load(self) -> dict[str, Any]:
-        """Report the load as it was a while ago."""
+        """Return the load as of `report_lag_s` seconds ago."""
         running, waiting, cached_blocks = self.load.get()
         return {
             "running": running,
@@ -336,19 +383,19 @@
         }
 
     def get_events(self) -> dict[str, Any]:
-        """Report what entered and left the prefix cache."""
-        return self.events.view(serving.query("from", int, 0))
+        """Return the events of blocks stored in and evicted from the prefix cache."""
+        return self.events.read(serving.query_parameter("from", int, 0))
 
     def post_orders(self, order: Order) -> Any:
-        """Take an order, unless its fence is old and the engine checks it."""
+        """Apply an order, unless fencing is checked and its token is out of date."""
         highest = self.state["fence"]
         if self.settings.checks_fencing and order.fence < highest:
-            return serving.failure(409, "stale_fence", fence=highest)
+            return serving.error_response(409, "stale_fence", fence=highest)
         self.state = {"desired": order.desired, "fence": order.fence}
         return {"applied": True}
 
     def get_stats(self) -> dict[str, Any]:
-        """Report the work done."""
+        """Return totals of the work done, and the executions of each request."""
         return {**asdict(self.batch.counts), "executions": self.executions}
 
 
